--- a/packages/gateway/src/admission/pace.ts
+++ b/packages/gateway/src/admission/pace.ts
@@ -1,60 +1,62 @@
+/** Timing of the events of a service's streams: pauses between events, and the time to the first one. */
+
 import { createAnswerTimes } from '@plantaindrum/common';
 import type { Clock } from '@plantaindrum/common';
 
-/** How fast the engines of one service make events, as the streams through this entry show it. */
-export interface PaceMeter {
-  /** An event of a stream came this long after the one before it. */
+/** Event timings of one service, as observed on the streams through this entry. */
+export interface EventTimings {
+  /** Records the time between two successive events of a stream, in ms. */
   notePause(ms: number): void;
-  /** The first event of an attempt came this long after it was sent, in ms. */
+  /** Records the time from sending an attempt to its first event, in ms. */
   noteFirst(ms: number): void;
-  /** An attempt had no event after this long, in ms, and was given up. */
+  /** Records that an attempt was given up without an event after this time, in ms. */
   noteNone(ms: number): void;
   /**
-   * Time without a first event after which an attempt's upstream is taken for dead, in ms. A request that waits
-   * for a place, or whose prompt is being read, is as silent as one at a dead upstream; but so are the others.
+   * Time without a first event after which an attempt's upstream is considered dead, in ms. It follows the observed
+   * times: while requests queue for a slot or long prompts are read, live upstreams are silent for longer, too.
    */
   firstLimit(): number;
-  /** Pause that the given share of recent ones stays below; undefined without recent events. */
-  pause(share: number): number | undefined;
-  /** Milliseconds since any stream of the service had an event. */
+  /** Quantile of the recent pauses, in ms; undefined without recent events. */
+  pause(quantile: number): number | undefined;
+  /** Time since the last event of any stream of the service, in ms. */
   silence(): number;
 }
 
-/** Recent means within this time, in ms: some ten passes of a group. */
+/** Age up to which pauses count as recent, in ms: some ten passes of a group. */
 const WINDOW_MS = 600;
-/** Most samples that are kept: a bound on memory under a burst. */
+/** Max pauses kept: bounds the memory used in a burst. */
 const MAX_SAMPLES = 512;
 
 /**
- * Bounds of the time to a first event, in ms: well above a pass of a group; and the time after which callers
- * give up a stream that has brought nothing, so that another attempt would be in vain.
+ * Bounds of the time to a first event, in ms. The lower one is well above a pass of a group. Callers give up a
+ * stream without any event after the upper one, so that a later attempt would be in vain.
  */
-const FIRST_EVENT = { first: 900, least: 900, most: 2_000 };
+const FIRST_EVENT_TIMEOUT_MS = { first: 900, least: 900, most: 2_000 };
 
 interface Sample {
   at: number;
   ms: number;
 }
 
-const quantile = (samples: readonly Sample[], share: number): number | undefined => {
+const quantileOf = (samples: readonly Sample[], quantile: number): number | undefined => {
   if (samples.length === 0) return undefined;
   const sorted = samples.map(({ ms }) => ms).sort((a, b) => a - b);
-  return sorted[Math.min(sorted.length - 1, Math.floor(share * sorted.length))];
+  return sorted[Math.min(sorted.length - 1, Math.floor(quantile * sorted.length))];
 };
 
-/** Creates the meter of one service. */
-export const createPaceMeter = (clock: Clock): PaceMeter => {
+/** Creates the event timings of one service. */
+export const createEventTimings = (clock: Clock): EventTimings => {
   let pauses: Sample[] = [];
-  let lastAt = -Infinity;
-  const firsts = createAnswerTimes(() => FIRST_EVENT);
+  let lastEventAt = -Infinity;
+  const firstEventTimes = createAnswerTimes(() => FIRST_EVENT_TIMEOUT_MS);
 
   const recent = (samples: Sample[]): Sample[] => {
     const oldest = clock.monotonic() - WINDOW_MS;
     return samples.filter(({ at }) => at >= oldest).slice(-MAX_SAMPLES);
   };
   const add = (samples: Sample[], ms: number): Sample[] => {
-    lastAt = clock.monotonic();
-    samples.push({ at: lastAt, ms });
+    lastEventAt = clock.monotonic();
+    samples.push({ at: lastEventAt, ms });
     return samples.length > 2 * MAX_SAMPLES ? recent(samples) : samples;
   };
 
@@ -63,15 +65,15 @@
       pauses = add(pauses, ms);
     },
     noteFirst: (ms) => {
-      lastAt = clock.monotonic();
-      firsts.note('first', ms);
+      lastEventAt = clock.monotonic();
+      firstEventTimes.note('first', ms);
     },
-    noteNone: (ms) => firsts.note('first', ms),
-    firstLimit: () => firsts.limit('first'),
-    pause: (share) => {
+    noteNone: (ms) => firstEventTimes.note('first', ms),
+    firstLimit: () => firstEventTimes.limit('first'),
+    pause: (quantile) => {
       pauses = recent(pauses);
-      return quantile(pauses, share);
+      return quantileOf(pauses, quantile);
     },
-    silence: () => clock.monotonic() - lastAt,
+    silence: () => clock.monotonic() - lastEventAt,
   };
 };
--- a/packages/gateway/src/admission/reopening.ts
+++ b/packages/gateway/src/admission/reopening.ts
@@ -1,36 +1,37 @@
 /**
- * Callers that wait while the group behind a service forms anew.
+ * Queues callers while the group behind a service re-forms.
  *
- * The pattern: after a loss of power all ranks refuse for some 0.7 s, and the callers whose streams were
- * cut are back within that time. They come back once: refused then, they are lost. So a few of those who
- * won't be back wait here; the others are told to come later, or all would begin at once with the uneven
- * map that a group forms with, and those that come new would be late with them. One caller asks now and
- * then, and when it is served those that wait go on, the most urgent and the longest waiting first.
+ * After a power loss all ranks refuse for some 0.7 s, and callers whose streams were cut come back within that
+ * time. Each comes back only once: refused then, it is lost. So a limited number of callers that won't come back
+ * wait here; the others are told to retry later. If all of them started at once, on the uneven expert map that a group
+ * forms with, new callers would be late as well. A single caller probes the service at intervals. Once its probe
+ * succeeds, the waiting callers proceed, by urgency and then by the time that they have waited.
  */
 
 import type { Clock, EventLog, Metrics } from '@plantaindrum/common';
 
 /** How a wait ended. */
 export type WaitOutcome =
-  /** The upstreams answer again. */
+  /** The upstreams serve requests again. */
   | 'open'
-  /** Nobody knows yet; this caller is the one that asks. */
+  /** The state is unknown; this caller's request is the probe. */
   | 'ask'
-  /** Its time to wait is over. */
+  /** The time that the caller may wait is over. */
   | 'too-long'
-  /** It may come back later, or as many wait as there are places for. */
+  /** The caller may retry later, or the wait queue is full. */
   | 'no-room';
 
-/** Services whose upstreams refuse all requests, and who waits for them. */
+/** Services whose upstreams refuse all requests, with their wait queues. */
 export interface Reopening {
-  /** Most of a service's upstreams have just refused. */
+  /** Most of a service's upstreams have just refused: an outage begins or goes on. */
   noteRefusing(service: string): void;
-  /** One of them has answered. */
+  /** One of its upstreams has answered: an outage is over. */
   noteAnswer(service: string): void;
-  /** A request ended in a way that says nothing: nobody was there, or another instance. */
+  /** A request ended without showing the service's state: the upstream wasn't reached, or is another instance now. */
   noteNothing(service: string): void;
+  /** Whether the service has an outage. */
   isClosed(service: string): boolean;
-  /** Waits until the service opens, at most until a time (monotonic, ms). */
+  /** Waits for the end of an outage, at most until the caller's `until`. */
   wait(service: string, caller: WaitingCaller): Promise<WaitOutcome>;
 }
 
@@ -38,128 +39,136 @@
 export interface WaitingCaller {
   /** It has been refused before and won't come back again. */
   isLastTry: boolean;
+  /** End of the wait (monotonic, ms). */
   until: number;
   /** Rank among callers, 0 first. */
   urgency: number;
-  /** Most callers that may wait for the service at this entry. */
+  /** Max callers that may wait for the service at this entry. */
   room: number;
 }
 
-/** Options of `createReopening`. */
-export interface ReopeningOptions {
+/** Options of the service outages. */
+export interface ServiceOutagesOptions {
   clock: Clock;
   metrics: Metrics;
   log: EventLog;
 }
 
 /**
- * Pause between two callers that ask, in ms. A group forms in 600: an entry spends some five attempts
- * of its share of the retries, and callers wait half of this longer than they have to. Ranks refuse
- * within some 5 ms, but the first event of a group that has opened takes up to a second: whoever asks and
- * is not refused until the next would ask has found it open.
+ * Interval between two probes, in ms. A group forms in 600 ms: an entry spends some five attempts of its retry
+ * budget on probes, and callers wait half an interval longer than needed. Ranks refuse within some 5 ms, but the first
+ * event of a group that has just formed takes up to a second; a probe that has not been refused by the time
+ * of the next one therefore counts as success.
  */
-const ASK_MS = 120;
-/** A refusal says something about the next request for this long, in ms. */
-const KNOWN_MS = 1_000;
+const PROBE_INTERVAL_MS = 120;
+/** An outage without waiting callers expires this long after its last refusal, in ms. */
+const OUTAGE_EXPIRY_MS = 1_000;
 
-interface Waiter extends WaitingCaller {
-  since: number;
-  settle: (outcome: WaitOutcome) => void;
+interface QueuedCaller extends WaitingCaller {
+  queuedAt: number;
+  resolve: (outcome: WaitOutcome) => void;
 }
 
-interface Closure {
-  since: number;
-  refusedAt: number;
-  askedAt: number;
-  /** Somebody asks and has not been refused yet. */
-  isAsking: boolean;
-  waiters: Waiter[];
+interface Outage {
+  startedAt: number;
+  lastRefusalAt: number;
+  lastProbeAt: number;
+  /** A probe has been sent and has not been refused yet. */
+  isProbePending: boolean;
+  queue: QueuedCaller[];
   stopTimer: () => void;
 }
 
-const byTurn = (a: Waiter, b: Waiter): number => a.urgency - b.urgency || a.since - b.since;
+const byUrgencyAndAge = (a: QueuedCaller, b: QueuedCaller): number =>
+  a.urgency - b.urgency || a.queuedAt - b.queuedAt;
 
-/** Creates the waiting room of one entry. */
-export const createReopening = ({ clock, metrics, log }: ReopeningOptions): Reopening => {
-  const closures = new Map<string, Closure>();
+/** Creates the outages and wait queues of one entry. */
+export const createReopening = ({ clock, metrics, log }: ServiceOutagesOptions): Reopening => {
+  const outages = new Map<string, Outage>();
 
-  const isOver = ({ refusedAt, waiters }: Closure): boolean =>
-    waiters.length === 0 && clock.monotonic() - refusedAt > KNOWN_MS;
+  const isExpired = ({ lastRefusalAt, queue }: Outage): boolean =>
+    queue.length === 0 && clock.monotonic() - lastRefusalAt > OUTAGE_EXPIRY_MS;
 
-  const open = (service: string, closure: Closure): void => {
-    closures.delete(service);
-    closure.stopTimer();
-    const waiters = closure.waiters.sort(byTurn);
-    const ms = Math.round(clock.monotonic() - closure.since);
-    log.event('service-open', { service, ms, waiting: waiters.length });
-    waiters.forEach(({ settle }) => settle('open'));
+  const endOutage = (service: string, outage: Outage): void => {
+    outages.delete(service);
+    outage.stopTimer();
+    const callers = outage.queue.sort(byUrgencyAndAge);
+    const ms = Math.round(clock.monotonic() - outage.startedAt);
+    log.event('service-open', { service, ms, waiting: callers.length });
+    callers.forEach(({ resolve }) => resolve('open'));
   };
 
-  /** Ends waits that are over and lets the next caller ask. */
-  const turn = (service: string, closure: Closure): void => {
-    if (closure.isAsking) {
-      open(service, closure);
+  /** Ends waits whose time is over and lets the next caller probe; ends the outage if the last probe was not refused. */
+  const probeNext = (service: string, outage: Outage): void => {
+    if (outage.isProbePending) {
+      endOutage(service, outage);
       return;
     }
     const now = clock.monotonic();
-    const late = closure.waiters.filter(({ until }) => until <= now);
-    const left = closure.waiters.filter(({ until }) => until > now).sort(byTurn);
-    const next = left.shift();
-    Object.assign(closure, { waiters: left, askedAt: now, isAsking: next !== undefined });
-    late.forEach(({ settle }) => settle('too-long'));
-    next?.settle('ask');
-    if (next) {
-      Object.assign(closure, { stopTimer: clock.after(ASK_MS, () => turn(service, closure)) });
+    const expired = outage.queue.filter(({ until }) => until <= now);
+    const remaining = outage.queue.filter(({ until }) => until > now).sort(byUrgencyAndAge);
+    const prober = remaining.shift();
+    Object.assign(outage, {
+      queue: remaining,
+      lastProbeAt: now,
+      isProbePending: prober !== undefined,
+    });
+    expired.forEach(({ resolve }) => resolve('too-long'));
+    prober?.resolve('ask');
+    if (prober) {
+      Object.assign(outage, {
+        stopTimer: clock.after(PROBE_INTERVAL_MS, () => probeNext(service, outage)),
+      });
     }
   };
 
   return {
     noteRefusing: (service) => {
       const now = clock.monotonic();
-      const known = closures.get(service);
-      if (known) Object.assign(known, { refusedAt: now, isAsking: false });
+      const known = outages.get(service);
+      if (known) Object.assign(known, { lastRefusalAt: now, isProbePending: false });
       else {
         log.event('service-closed', { service });
-        const times = { since: now, refusedAt: now, askedAt: now };
-        const none = { isAsking: false, waiters: [], stopTimer: () => {} };
-        closures.set(service, { ...times, ...none });
+        const times = { startedAt: now, lastRefusalAt: now, lastProbeAt: now };
+        const emptyQueue = { isProbePending: false, queue: [], stopTimer: () => {} };
+        outages.set(service, { ...times, ...emptyQueue });
       }
     },
     noteAnswer: (service) => {
-      const closure = closures.get(service);
-      if (closure) open(service, closure);
+      const outage = outages.get(service);
+      if (outage) endOutage(service, outage);
     },
     noteNothing: (service) => {
-      const closure = closures.get(service);
-      if (closure) closure.isAsking = false;
+      const outage = outages.get(service);
+      if (outage) outage.isProbePending = false;
     },
     isClosed: (service) => {
-      const closure = closures.get(service);
-      if (closure && isOver(closure)) closures.delete(service);
-      return closures.has(service);
+      const outage = outages.get(service);
+      if (outage && isExpired(outage)) outages.delete(service);
+      return outages.has(service);
     },
     wait: (service, caller) => {
-      const closure = closures.get(service);
+      const outage = outages.get(service);
       const now = clock.monotonic();
-      if (!closure) return Promise.resolve('open');
+      if (!outage) return Promise.resolve('open');
       if (caller.until <= now) return Promise.resolve('too-long');
-      const isFull = closure.waiters.length >= caller.room;
+      const isFull = outage.queue.length >= caller.room;
       if (!caller.isLastTry || isFull) {
-        if (now - closure.askedAt < ASK_MS) return Promise.resolve('no-room');
-        if (closure.isAsking) {
-          open(service, closure);
+        if (now - outage.lastProbeAt < PROBE_INTERVAL_MS) return Promise.resolve('no-room');
+        if (outage.isProbePending) {
+          endOutage(service, outage);
           return Promise.resolve('open');
         }
-        Object.assign(closure, { askedAt: now, isAsking: true });
+        Object.assign(outage, { lastProbeAt: now, isProbePending: true });
         return Promise.resolve('ask');
       }
       metrics.count('gateway_waited_for_group');
-      return new Promise((settle) => {
-        closure.waiters.push({ ...caller, since: now, settle });
-        if (closure.waiters.length > 1) return;
-        closure.stopTimer();
-        const again = clock.after(ASK_MS, () => turn(service, closure));
-        Object.assign(closure, { stopTimer: again });
+      return new Promise((resolve) => {
+        outage.queue.push({ ...caller, queuedAt: now, resolve });
+        if (outage.queue.length > 1) return;
+        outage.stopTimer();
+        const stopTimer = clock.after(PROBE_INTERVAL_MS, () => probeNext(service, outage));
+        Object.assign(outage, { stopTimer });
       });
     },
   };
--- a/packages/gateway/src/mesh/engine-pace.ts
+++ b/packages/gateway/src/mesh/engine-pace.ts
@@ -1,18 +1,18 @@
 import { isObject } from '@plantaindrum/common';
 
-/** How slow an engine is, as the agent beside it tells. */
+/** Slowdown of an engine, as reported by the agent beside it. */
 export interface EnginePace {
-  /** Address at which entries know the engine. */
+  /** Address under which entries know the engine. */
   host: string;
   port: number;
-  /** The start of the engine that was slow; a later one is another engine. */
+  /** Start of the engine that the report is about; after a later start it is a different engine. */
   startedAt: number;
-  /** Time of its own work over the usual. */
+  /** Time of the engine's own work relative to its baseline; 1 is normal. */
   pace: number;
 }
 
-/** Reads a pace; undefined when it isn't one. */
-export const readEnginePace = (value: unknown): EnginePace | undefined => {
+/** Reads a slowdown report; undefined when the value isn't one. */
+export const readEngineSlowdown = (value: unknown): EnginePace | undefined => {
   if (!isObject(value)) return undefined;
   const { host, port, startedAt, pace } = value;
   if (typeof host !== 'string' || typeof port !== 'number') return undefined;
--- a/packages/gateway/src/mesh/entry-topics.ts
+++ b/packages/gateway/src/mesh/entry-topics.ts
@@ -1,4 +1,4 @@
-/** What an entry follows in the platform's log, and what it writes there again after the log was restored. */
+/** Follows the topics of the platform's log that an entry needs, and publishes the entry's own node record. */
 
 import type { Clock, EventLog } from '@plantaindrum/common';
 import { createKeyedMirror, createPublisher, decodeNode } from '@plantaindrum/mirror';
@@ -12,7 +12,7 @@
 } from '@plantaindrum/mirror';
 import type { FollowedTopics } from './followed-topics.js';
 
-/** The platform's log: the operators' intent, the list of upstreams, this system's nodes, requests in quarantine. */
+/** Topics of the platform's log: operators' intent, list of upstreams, node registry, quarantined requests. */
 export interface TopicsOfEntry {
   intent: KeyedTopic;
   upstreams: KeyedTopic;
@@ -33,50 +33,50 @@
   onUpstream: (change: KeyedChange) => void;
   onNodes: (nodes: readonly NodeRecord[]) => void;
   onQuarantine: (change: KeyedChange) => void;
-  /** The log was restored from an older copy, which lacks these requests in quarantine. */
+  /** The log was restored from an older copy, which lacks these quarantined requests. */
   onQuarantineLost: (keys: readonly string[], source: RestoreSource) => void;
   clock: Clock;
   log: EventLog;
 }
 
-/** The topics of an entry. */
-export interface EntryTopics {
+/** The followed topics of an entry. */
+export interface EntryTopicFollowers {
   intent: Follower;
   /** Whether the list of upstreams has been read. */
   hasUpstreams(): boolean;
   close(): void;
 }
 
-/** Waits at the log and pauses between reads, in ms. A change is due within two seconds. */
+/** Time that a read waits at the log and pause between reads, in ms. A change is due within two seconds. */
 const INTENT_READ = { waitMs: 600, pauseMs: 50 };
 /**
- * The list changes several times a second; reading it seldom saves calls, and two seconds are allowed. Upstreams that
- * live are back in a restored list within two seconds.
+ * The list of upstreams changes several times a second. Two seconds of delay are allowed, so reading it less often
+ * saves calls. Live upstreams are back in a restored list within two seconds.
  */
 const UPSTREAMS_READ = { waitMs: 0, pauseMs: 500, rewrittenWithinMs: 2_000 };
-/** Nodes come and go seldom, and a refused call is paid for as well. */
+/** The node registry changes rarely, so it is read less often. Refused calls are billed, too. */
 const NODES_READ = { waitMs: 10_000, pauseMs: 1_000, retryMaxMs: 4_000 };
-/** Entries tell each other at once; the log is for those that start. */
+/** Entries send each other quarantine updates at once; the log only serves entries that start. */
 const QUARANTINE_READ = { waitMs: 25_000, pauseMs: 1_000, retryMaxMs: 4_000 };
 
-/** Starts to follow the topics and to publish this entry. */
-export const followEntryTopics = (options: EntryTopicsOptions): EntryTopics => {
+/** Starts to follow the topics and to publish this entry's node record. */
+export const followEntryTopics = (options: EntryTopicsOptions): EntryTopicFollowers => {
   const { self, topics, followed, publish, clock, log } = options;
   const nodes = new Map<string, NodeRecord>();
 
-  const takeNode = ({ key, value }: KeyedChange): void => {
+  const applyNode = ({ key, value }: KeyedChange): void => {
     const record = value && decodeNode(value);
     if (record) nodes.set(key, record);
     else nodes.delete(key);
     options.onNodes([...nodes.values()]);
   };
-  const takeIntent = ({ key, value }: KeyedChange): void => {
+  const applyIntent = ({ key, value }: KeyedChange): void => {
     if (key === options.intentKey && value) options.onIntent(value);
   };
 
-  const intentMirror = createKeyedMirror(takeIntent, { isNewer: options.isNewerIntent });
+  const intentMirror = createKeyedMirror(applyIntent, { isNewer: options.isNewerIntent });
   const upstreamMirror = createKeyedMirror(options.onUpstream);
-  const nodeMirror = createKeyedMirror(takeNode);
+  const nodeMirror = createKeyedMirror(applyNode);
   const quarantineMirror = createKeyedMirror(options.onQuarantine);
   const publisher = createPublisher({ record: self, publish, clock, log });
 
--- a/packages/gateway/src/mesh/followed-topics.ts
+++ b/packages/gateway/src/mesh/followed-topics.ts
@@ -1,4 +1,4 @@
-/** The topics of the platform's log that an entry follows, from the log itself and over its links. */
+/** Follows topics of the platform's log, reading them from the log itself or from peers over links. */
 
 import type { Clock, EventLog, Metrics } from '@plantaindrum/common';
 import { followTopic, WHOLE } from '@plantaindrum/mirror';
@@ -13,38 +13,39 @@
 } from '@plantaindrum/mirror';
 import type { Mesh } from './mesh.js';
 
-/** How a topic is read: how long a read waits at the log, and the pause after it, in ms. */
+/** Timing of the reads of a topic. */
 export interface TopicReading {
+  /** Time that a read waits at the log, and the pause after it, in ms. */
   waitMs: number;
   pauseMs: number;
-  /** Longest pause after failed reads once the topic has been read, in ms. */
+  /** Max pause after failed reads once the topic has been read, in ms. */
   retryMaxMs?: number;
-  /** Time after a restore of the log for writers to write again what it lost, in ms; without it, that is kept. */
+  /** Time after a restore of the log until lost keys that weren't written again are dropped, in ms; undefined: never. */
   rewrittenWithinMs?: number;
-  /** Told when the mirror has moved on to a log that was restored from an older copy. */
+  /** Called when the mirror has switched to a log that was restored from an older copy. */
   onRestored?: (source: RestoreSource) => void;
 }
 
-/** Topics with their mirrors. */
+/** The followed topics and their mirrors. */
 export interface FollowedTopics {
   follow(topic: KeyedTopic, mirror: KeyedMirror, reading: TopicReading): Follower;
-  /** The follower of a topic, by the topic's name. */
+  /** Returns the follower of a topic by the topic's name. */
   follower(name: string): Follower | undefined;
-  /** What a topic's mirror holds beyond a place, for a peer; all of it for one of an earlier generation. */
+  /** Returns a topic's records after a position, for a peer; all records when the peer's generation is older. */
   recordsAfter(name: string, after: TopicPlace): PeerRecords | undefined;
   close(): void;
 }
 
 /** Options of `createFollowedTopics`. */
 export interface FollowedTopicsOptions {
-  /** Undefined until the links are there. */
+  /** Undefined until the mesh has been created. */
   mesh: () => Mesh | undefined;
   clock: Clock;
   metrics: Metrics;
   log: EventLog;
 }
 
-/** Creates the set; nothing is followed yet. */
+/** Creates an empty set of followed topics. */
 export const createFollowedTopics = (options: FollowedTopicsOptions): FollowedTopics => {
   const { mesh, clock, metrics, log } = options;
   const followed = new Map<string, { mirror: KeyedMirror; follower: Follower }>();
@@ -58,10 +59,10 @@
       const follower = followTopic({
         topic,
         mirror,
-        askPeers: async (name, after) => mesh()?.askPeers(name, after),
-        // One entry reads the log for all: calls to it are paid for, and links are there anyway.
-        isReadByPeer: () => mesh()?.hasEarlierPeer() ?? false,
-        onAnswer: (push: PeerPush) => mesh()?.passOn(topic.name, push),
+        askPeers: async (name, after) => mesh()?.fetchFromPeer(name, after),
+        // One entry reads the log for all others, since calls to the log are billed and links between entries exist anyway.
+        isReadByPeer: () => mesh()?.hasLowerPeer() ?? false,
+        onAnswer: (push: PeerPush) => mesh()?.broadcastPush(topic.name, push),
         ...reading,
         onRestored,
         clock,
--- a/packages/gateway/src/mesh/linked-share.ts
+++ b/packages/gateway/src/mesh/linked-share.ts
@@ -1,47 +1,47 @@
-/** Which part of the entries this one is linked with, for limits that hold for all entries together. */
+/** Counts the entries that this one is connected to, for limits that hold for all entries together. */
 
 import type { Clock } from '@plantaindrum/common';
 
-/** The entries that are linked, and those that were a while ago. */
-export interface LinkedShare {
-  noteLinked(node: string): void;
-  noteLost(node: string): void;
-  /** Entries that may be at work, this one counted: the linked ones, and those lost lately. */
+/** The connected entries, and those that were connected until recently. */
+export interface ConnectedEntries {
+  recordLinked(node: string): void;
+  recordLost(node: string): void;
+  /** Number of entries that may be running, including this one: the connected ones and those lost recently. */
   entries(): number;
-  /** Part of them that this one hears of, itself included, above 0 and at most 1. */
-  share(): number;
+  /** Fraction of these that is connected, including this one; above 0 and at most 1. */
+  connectedFraction(): number;
 }
 
 /**
- * An entry whose link is lost may be at work behind a partition, and counts for this long, in ms. One that
- * was ended for good takes its part with it until then.
+ * Time for which an entry counts after its link was lost, in ms: it may be running behind a partition. The share of an
+ * entry that was shut down stays unused for this time.
  */
-const LOST_COUNTS_MS = 60_000;
+const LOST_ENTRY_TTL_MS = 60_000;
 
-/** Creates the share of an entry that has no links yet. */
-export const createLinkedShare = (clock: Clock): LinkedShare => {
+/** Creates the count of an entry that has no links yet. */
+export const createConnectedEntries = (clock: Clock): ConnectedEntries => {
   const linked = new Set<string>();
   const lost = new Map<string, number>();
 
-  const lostLately = (): number => {
-    const oldest = clock.monotonic() - LOST_COUNTS_MS;
+  const countRecentlyLost = (): number => {
+    const oldest = clock.monotonic() - LOST_ENTRY_TTL_MS;
     [...lost].forEach(([node, at]) => {
       if (at < oldest) lost.delete(node);
     });
     return lost.size;
   };
 
-  const entries = (): number => linked.size + lostLately() + 1;
+  const entries = (): number => linked.size + countRecentlyLost() + 1;
 
   return {
-    noteLinked: (node) => {
+    recordLinked: (node) => {
       linked.add(node);
       lost.delete(node);
     },
-    noteLost: (node) => {
+    recordLost: (node) => {
       if (linked.delete(node)) lost.set(node, clock.monotonic());
     },
     entries,
-    share: () => (linked.size + 1) / entries(),
+    connectedFraction: () => (linked.size + 1) / entries(),
   };
 };
--- a/packages/gateway/src/mesh/load-share.ts
+++ b/packages/gateway/src/mesh/load-share.ts
@@ -1,76 +1,83 @@
-/** What entries tell each other of their requests at the upstreams: what changed, seldom the whole. */
+/** Broadcasts this entry's requests in flight at the upstreams to the other entries: mostly changes, rarely in full. */
 
 import type { Clock } from '@plantaindrum/common';
 import { isObject } from '@plantaindrum/common';
 
-/** Requests of an entry at upstreams, by the upstream's instance. */
+/** An entry's requests in flight, by the upstream's instance. */
 export interface LoadShare {
-  /** Whether upstreams that aren't named have none; else they have as many as before. */
+  /** In a full update, upstreams that aren't named have no requests; otherwise their number is unchanged. */
   isWhole: boolean;
   counts: Readonly<Record<string, number>>;
 }
 
-/** Reads a share; undefined when it isn't one. */
-export const readShare = (value: unknown): LoadShare | undefined => {
+/** Reads a load update; undefined when the value isn't one. */
+export const readLoadUpdate = (value: unknown): LoadShare | undefined => {
   if (!isObject(value) || typeof value.isWhole !== 'boolean' || !isObject(value.counts)) {
     return undefined;
   }
-  const isSound = Object.values(value.counts).every((n) => typeof n === 'number');
-  return isSound ? (value as unknown as LoadShare) : undefined;
+  const areCountsValid = Object.values(value.counts).every((n) => typeof n === 'number');
+  return areCountsValid ? (value as unknown as LoadShare) : undefined;
 };
 
-/** Tells this entry's load as it changes. */
-export interface LoadTeller {
-  /** The whole of the load, for a peer that is newly linked. */
+/** Broadcasts this entry's load as it changes. */
+export interface LoadBroadcaster {
+  /** Returns a full update, for a peer that is newly linked. */
   whole(): LoadShare;
   close(): void;
 }
 
-/** Options of `createLoadTeller`. */
-export interface LoadTellerOptions {
-  /** Requests at each upstream now; those without any may be left out. */
+/** Options of the load broadcaster. */
+export interface LoadBroadcasterOptions {
+  /** Current requests in flight at each upstream; upstreams without any may be missing. */
   counts: () => ReadonlyMap<string, number>;
-  tell: (share: LoadShare) => void;
+  tell: (update: LoadShare) => void;
   clock: Clock;
 }
 
-/** Changes are told this often, in ms: about one pass of a group. */
-const TELL_MS = 60;
+/** Interval between broadcasts of changes, in ms: about one pass of a group. */
+const BROADCAST_INTERVAL_MS = 60;
 /**
- * The whole is told again after this long, in ms, for peers that had not listed an upstream yet when
- * it was named. Changes alone are a twentieth of the bytes that the whole was every 60 ms.
+ * Interval between full updates, in ms. They reach peers that had not listed an upstream yet when a change named it.
+ * Sending changes takes a twentieth of the bytes of a full update every 60 ms.
  */
-const WHOLE_MS = 5_000;
+const FULL_UPDATE_INTERVAL_MS = 5_000;
 
-/** Starts to tell; runs until `close`. */
-export const createLoadTeller = ({ counts, tell, clock }: LoadTellerOptions): LoadTeller => {
-  let told: ReadonlyMap<string, number> = new Map();
-  let wholeAt = clock.monotonic();
+/** Starts to broadcast; runs until `close`. */
+export const createLoadTeller = ({
+  counts,
+  tell,
+  clock,
+}: LoadBroadcasterOptions): LoadBroadcaster => {
+  let lastCounts: ReadonlyMap<string, number> = new Map();
+  let lastFullUpdateAt = clock.monotonic();
   let stopTimer = (): void => {};
 
-  const changesSince = (now: ReadonlyMap<string, number>): [string, number][] => [
-    ...[...now].filter(([instance, n]) => told.get(instance) !== n),
-    ...[...told.keys()]
+  const changedCounts = (now: ReadonlyMap<string, number>): [string, number][] => [
+    ...[...now].filter(([instance, n]) => lastCounts.get(instance) !== n),
+    ...[...lastCounts.keys()]
       .filter((instance) => !now.has(instance))
       .map((instance): [string, number] => [instance, 0]),
   ];
 
-  const whole = (): LoadShare => ({ isWhole: true, counts: Object.fromEntries(counts()) });
+  const createFullUpdate = (): LoadShare => ({
+    isWhole: true,
+    counts: Object.fromEntries(counts()),
+  });
 
-  const look = (): void => {
+  const broadcastChanges = (): void => {
     const now = counts();
-    const changes = changesSince(now);
-    const isWholeDue = clock.monotonic() - wholeAt > WHOLE_MS;
-    if (isWholeDue) {
-      wholeAt = clock.monotonic();
-      tell(whole());
+    const changes = changedCounts(now);
+    const isFullUpdateDue = clock.monotonic() - lastFullUpdateAt > FULL_UPDATE_INTERVAL_MS;
+    if (isFullUpdateDue) {
+      lastFullUpdateAt = clock.monotonic();
+      tell(createFullUpdate());
     } else if (changes.length > 0) {
       tell({ isWhole: false, counts: Object.fromEntries(changes) });
     }
-    told = now;
-    stopTimer = clock.after(TELL_MS, look);
+    lastCounts = now;
+    stopTimer = clock.after(BROADCAST_INTERVAL_MS, broadcastChanges);
   };
-  look();
+  broadcastChanges();
 
-  return { whole, close: () => stopTimer() };
+  return { whole: createFullUpdate, close: () => stopTimer() };
 };
--- a/packages/gateway/src/mesh/mesh.ts
+++ b/packages/gateway/src/mesh/mesh.ts
@@ -1,4 +1,4 @@
-/** Links between the entries: shares of load, and what one of them misses of the platform's log. */
+/** Links between the entries: broadcasts of load, rate limits and crash reports, and records of the platform's log. */
 
 import type { Clock, EventLog, Metrics, Random } from '@plantaindrum/common';
 import { isNumber, isObject, silentLogger } from '@plantaindrum/common';
@@ -8,32 +8,34 @@
 import type { AskPeers, NodeRecord, PeerPush, PeerRecords, TopicPlace } from '@plantaindrum/mirror';
 import type { ListenAddress } from '../door.js';
 import type { News } from '../quarantine/news.js';
-import { readEnginePace } from './engine-pace.js';
+import { readEngineSlowdown } from './engine-pace.js';
 import type { EnginePace } from './engine-pace.js';
-import { createLinkedShare } from './linked-share.js';
-import { readShare } from './load-share.js';
+import { createConnectedEntries } from './linked-share.js';
+import { readLoadUpdate } from './load-share.js';
 import type { LoadShare } from './load-share.js';
-import { readRateNews } from './rate-news.js';
+import { readRateLimitUpdate } from './rate-news.js';
 import type { RateNews } from './rate-news.js';
 
-/** The entries that this one is linked with. */
+/** The links of one entry to the others. */
 export interface Mesh {
-  /** Takes the published nodes; dials entries that are new. */
+  /** Applies the published node records: connects to new entries, and stops trying to connect to removed ones. */
   setNodes(nodes: readonly NodeRecord[]): void;
-  /** Whether a linked entry comes before this one; the first reads the log for all. */
-  hasEarlierPeer(): boolean;
-  shareLoad(share: LoadShare): void;
-  /** Entries that may be at work, this one counted, and the part of them that is linked with it. */
+  /** Whether a linked entry has a lower node name; the entry with the lowest one reads the log for all. */
+  hasLowerPeer(): boolean;
+  /** Broadcasts this entry's requests in flight. */
+  shareLoad(update: LoadShare): void;
+  /** Number of entries that may be running, including this one. */
   entries(): number;
+  /** Fraction of these that is linked, including this one. */
   linkedShare(): number;
-  /** Tells all linked entries of upstreams' rate limits, and of requests sent to those. */
-  tellRates(news: RateNews): void;
-  /** Tells all linked entries of requests that crash upstreams. */
-  tellCrashes(news: News): void;
-  /** Passes on what the log has just answered. */
-  passOn(topic: string, push: PeerPush): void;
-  /** Asks a linked entry for records of a topic beyond a place. */
-  askPeers: AskPeers;
+  /** Broadcasts upstreams' rate limits, and requests sent to upstreams that have one. */
+  tellRates(update: RateNews): void;
+  /** Broadcasts reports on requests that crash upstreams. */
+  tellCrashes(update: News): void;
+  /** Broadcasts records that the log has just returned. */
+  broadcastPush(topic: string, push: PeerPush): void;
+  /** Fetches records of a topic after a position from a linked entry chosen at random. */
+  fetchFromPeer: AskPeers;
   close(): Promise<void>;
 }
 
@@ -44,25 +46,26 @@
   listen: ListenAddress;
   /** Addresses of entries that are known without the log; they may be stale. */
   seeds: readonly ListenAddress[];
-  /** Version of the intent that is in force here, -1 before the first; rides on heartbeats. */
+  /** Version of the intent that is in force here, -1 before the first; sent with heartbeats. */
   intentVersion: () => number;
-  /** A peer holds a newer intent. */
+  /** Called when a peer holds a newer intent. */
   onPeerAhead: () => void;
-  onShare: (peer: string, share: LoadShare) => void;
-  /** The whole of this entry's load, for a peer that is newly linked. */
+  onShare: (peer: string, update: LoadShare) => void;
+  /** Returns this entry's full load, for a peer that is newly linked. */
   wholeShare: () => LoadShare;
-  onRateNews: (peer: string, news: RateNews) => void;
-  /** All rate limits of upstreams, for a peer that is newly linked. */
+  onRateNews: (peer: string, update: RateNews) => void;
+  /** Returns all known rate limits of upstreams, for a peer that is newly linked. */
   wholeRateNews: () => RateNews;
-  /** A peer's note on requests that crash upstreams, not yet checked. */
+  /** Called with a peer's update on requests that crash upstreams, not yet validated. */
   onCrashNews: (peer: string, value: unknown) => void;
-  /** All that is known of them, for a peer that is newly linked. */
+  /** Returns all that is known of such requests, for a peer that is newly linked. */
   wholeCrashNews: () => News;
   onPush: (topic: string, push: PeerPush) => void;
+  /** Called when the last link to a peer is closed. */
   onPeerGone: (peer: string) => void;
-  /** An agent tells the pace of the engine beside it. */
-  onPace: (pace: EnginePace) => void;
-  /** What this entry's mirror of a topic holds beyond a place. */
+  /** Called when an agent reports the slowdown of the engine beside it. */
+  onPace: (slowdown: EnginePace) => void;
+  /** Returns the records that this entry's mirror of a topic holds after a position. */
   recordsAfter: (topic: string, after: TopicPlace) => PeerRecords | undefined;
   clock: Clock;
   random: Random;
@@ -70,15 +73,15 @@
   log: EventLog;
 }
 
-/** Time for a peer's answer, in ms: links take a millisecond, a peer's pause up to a hundred. */
-const ASK_MS = 400;
-/** Time for a connection and its hello, in ms. */
-const HELLO_MS = 1_000;
-const CRASH_NOTE = 'request.crashes';
-const RATE_NOTE = 'upstream.rates';
+/** Timeout of a fetch from a peer, in ms: links take about 1 ms, and a peer may stall for up to 100 ms. */
+const FETCH_TIMEOUT_MS = 400;
+/** Timeout of connecting and exchanging hellos, in ms. */
+const HELLO_TIMEOUT_MS = 1_000;
+const QUARANTINE_NOTE = 'request.crashes';
+const RATE_LIMIT_NOTE = 'upstream.rates';
 const BACKOFF = { firstMs: 100, maxMs: 1_500 };
 
-const readRecords = (value: unknown): PeerRecords | undefined => {
+const readPeerRecords = (value: unknown): PeerRecords | undefined => {
   if (!isObject(value)) return undefined;
   const { end, generation, ageMs } = value;
   const records = readRecordList(value.records);
@@ -98,20 +101,20 @@
 export const createMesh = async (options: MeshOptions): Promise<Mesh> => {
   const { self, listen, clock, random, metrics, log } = options;
   const links = new Set<Link>();
-  const linkedEntries = createLinkedShare(clock);
+  const connectedEntries = createConnectedEntries(clock);
   const clients = new Map<string, LinkClient>();
 
-  const answerRecords = async (args: unknown): Promise<unknown> => {
+  const handleRecordsCall = async (args: unknown): Promise<unknown> => {
     if (!isObject(args) || typeof args.topic !== 'string') return undefined;
     const { topic, generation, offset } = args;
     if (!isNumber(generation) || !isNumber(offset)) return undefined;
     return options.recordsAfter(topic, { generation, offset });
   };
 
-  const takeRateNews = (peer: string, value: unknown): void => {
-    const news = readRateNews(value);
-    if (news) {
-      options.onRateNews(peer, news);
+  const handleRateLimitUpdate = (peer: string, value: unknown): void => {
+    const update = readRateLimitUpdate(value);
+    if (update) {
+      options.onRateNews(peer, update);
       return;
     }
     metrics.count('gateway_rate_news_unreadable');
@@ -122,14 +125,14 @@
     (peer: string): FrameHandler =>
     (frame) => {
       if (frame.t !== 'note') return;
-      const share = frame.method === 'load.share' ? readShare(frame.args) : undefined;
-      if (share) options.onShare(peer, share);
+      const load = frame.method === 'load.share' ? readLoadUpdate(frame.args) : undefined;
+      if (load) options.onShare(peer, load);
       const pushed = frame.method === 'mirror.push' ? readTopicPush(frame.args) : undefined;
       if (pushed) options.onPush(pushed.topic, pushed.push);
-      const pace = frame.method === 'engine.pace' ? readEnginePace(frame.args) : undefined;
-      if (pace) options.onPace(pace);
-      if (frame.method === RATE_NOTE) takeRateNews(peer, frame.args);
-      if (frame.method === CRASH_NOTE) options.onCrashNews(peer, frame.args);
+      const slowdown = frame.method === 'engine.pace' ? readEngineSlowdown(frame.args) : undefined;
+      if (slowdown) options.onPace(slowdown);
+      if (frame.method === RATE_LIMIT_NOTE) handleRateLimitUpdate(peer, frame.args);
+      if (frame.method === QUARANTINE_NOTE) options.onCrashNews(peer, frame.args);
     };
 
   const onLink = (link: Link): FrameHandler => {
@@ -138,16 +141,16 @@
     log.event('peer-linked', { peer: node, role: link.peer.role });
     const isEntry = link.peer.role === 'entry';
     if (isEntry) {
-      linkedEntries.noteLinked(node);
+      connectedEntries.recordLinked(node);
       link.send({ t: 'note', method: 'load.share', args: options.wholeShare() });
-      link.send({ t: 'note', method: CRASH_NOTE, args: options.wholeCrashNews() });
-      link.send({ t: 'note', method: RATE_NOTE, args: options.wholeRateNews() });
+      link.send({ t: 'note', method: QUARANTINE_NOTE, args: options.wholeCrashNews() });
+      link.send({ t: 'note', method: RATE_LIMIT_NOTE, args: options.wholeRateNews() });
     }
     void link.closed.then((why) => {
       links.delete(link);
       log.event('peer-lost', { peer: node, why });
       if ([...links].some(({ peer }) => peer.node === node)) return;
-      if (isEntry) linkedEntries.noteLost(node);
+      if (isEntry) connectedEntries.recordLost(node);
       options.onPeerGone(node);
     });
     return onFrame(node);
@@ -162,8 +165,8 @@
       region: options.region,
     },
     intentOffset: options.intentVersion,
-    limits: { ...defaultLinkLimits, helloTimeoutMs: HELLO_MS },
-    handlers: { 'mirror.records': answerRecords },
+    limits: { ...defaultLinkLimits, helloTimeoutMs: HELLO_TIMEOUT_MS },
+    handlers: { 'mirror.records': handleRecordsCall },
     onLink,
     onPeerOffset: options.onPeerAhead,
     clock,
@@ -185,13 +188,13 @@
 
   options.seeds.forEach(dial);
 
-  /** One link to each peer: two nodes that dialled each other have two. */
-  const byPeer = (): Link[] => {
+  /** Returns one link to each linked entry; two nodes that connected to each other have two links. */
+  const entryLinks = (): Link[] => {
     const entries = [...links].filter(({ peer }) => peer.role === 'entry');
     return [...new Map(entries.map((link) => [link.peer.node, link])).values()];
   };
 
-  const forget = (keep: ReadonlySet<string>): void => {
+  const closeUnlinkedClients = (keep: ReadonlySet<string>): void => {
     [...clients].forEach(([key, client]) => {
       if (keep.has(key) || client.link()) return;
       clients.delete(key);
@@ -202,33 +205,37 @@
   return {
     setNodes: (nodes) => {
       const entries = nodes.filter(({ role }) => role === 'entry');
-      // Of two entries the one with the smaller address dials, so that each pair has one link.
+      // The entry with the lower address connects to the other one, so that each pair has a single link.
       entries.filter((entry) => addressKey(self) < addressKey(entry)).forEach(dial);
-      forget(new Set([...entries, ...options.seeds].map(addressKey)));
+      closeUnlinkedClients(new Set([...entries, ...options.seeds].map(addressKey)));
     },
-    hasEarlierPeer: () => byPeer().some(({ peer }) => peer.node < self.node),
-    shareLoad: (share) => {
-      byPeer().forEach((link) => link.send({ t: 'note', method: 'load.share', args: share }));
+    hasLowerPeer: () => entryLinks().some(({ peer }) => peer.node < self.node),
+    shareLoad: (update) => {
+      entryLinks().forEach((link) => link.send({ t: 'note', method: 'load.share', args: update }));
     },
-    entries: linkedEntries.entries,
-    linkedShare: linkedEntries.share,
-    tellRates: (news) => {
-      byPeer().forEach((link) => link.send({ t: 'note', method: RATE_NOTE, args: news }));
+    entries: connectedEntries.entries,
+    linkedShare: connectedEntries.connectedFraction,
+    tellRates: (update) => {
+      entryLinks().forEach((link) =>
+        link.send({ t: 'note', method: RATE_LIMIT_NOTE, args: update }),
+      );
     },
-    tellCrashes: (news) => {
-      byPeer().forEach((link) => link.send({ t: 'note', method: CRASH_NOTE, args: news }));
+    tellCrashes: (update) => {
+      entryLinks().forEach((link) =>
+        link.send({ t: 'note', method: QUARANTINE_NOTE, args: update }),
+      );
     },
-    passOn: (topic, push) => {
+    broadcastPush: (topic, push) => {
       const args = { topic, ...push };
-      byPeer().forEach((link) => link.send({ t: 'note', method: 'mirror.push', args }));
+      entryLinks().forEach((link) => link.send({ t: 'note', method: 'mirror.push', args }));
     },
-    askPeers: async (topic, after) => {
-      const peers = byPeer();
+    fetchFromPeer: async (topic, after) => {
+      const peers = entryLinks();
       const start = Math.floor(random() * peers.length);
       const link = peers[start];
       if (!link) return undefined;
-      const reply = await link.call('mirror.records', { topic, ...after }, ASK_MS);
-      return reply.outcome === 'answered' ? readRecords(reply.value) : undefined;
+      const reply = await link.call('mirror.records', { topic, ...after }, FETCH_TIMEOUT_MS);
+      return reply.outcome === 'answered' ? readPeerRecords(reply.value) : undefined;
     },
     close: async () => {
       isClosed = true;
--- a/packages/gateway/src/mesh/rate-news.ts
+++ b/packages/gateway/src/mesh/rate-news.ts
@@ -1,51 +1,51 @@
-/** What entries tell each other of the rate limits that upstreams advertise. */
+/** Updates that entries broadcast about the rate limits that upstreams advertise. */
 
 import { isNumber, isObject } from '@plantaindrum/common';
 import { readList } from './read-list.js';
 
-/** An upstream has advertised a limit, or cleared it. */
+/** A rate limit that an upstream has advertised or cleared. */
 export interface AdvertisedLimit {
   instance: string;
-  /** Which of its starts; see `UpstreamStart`. */
+  /** Identifies one start of the upstream; see `UpstreamStart`. */
   startedAt: number;
-  /** Requests a second from all entries together; null: none any more. */
+  /** Requests per second from all entries together; null when the limit was cleared. */
   perSecond: number | null;
 }
 
-/** Requests that were sent to an upstream with a limit. */
+/** Requests that an entry has sent to an upstream with a limit. */
 export interface SentRequests {
   instance: string;
   startedAt: number;
   requests: number;
 }
 
-/** One note to a peer. */
+/** Content of one note to a peer. */
 export interface RateNews {
   limits: AdvertisedLimit[];
   sent: SentRequests[];
 }
 
-/** Most entries of each kind in one note: a bound on what a peer can make this entry do. */
-const MOST_IN_NOTE = 1_024;
+/** Max list entries of each kind in one note: bounds the work that a peer can cause here. */
+const MAX_PER_NOTE = 1_024;
 
-const isAmount = (value: unknown): boolean => isNumber(value) && value >= 0;
+const isNonNegative = (value: unknown): boolean => isNumber(value) && value >= 0;
 
-const isOfStart = ({ instance, startedAt }: Record<string, unknown>): boolean =>
-  typeof instance === 'string' && isAmount(startedAt);
+const namesUpstreamStart = ({ instance, startedAt }: Record<string, unknown>): boolean =>
+  typeof instance === 'string' && isNonNegative(startedAt);
 
-const listOf = <Entry>(
+const readEntries = <Entry>(
   value: unknown,
-  isSound: (entry: Record<string, unknown>) => boolean,
+  isValid: (entry: Record<string, unknown>) => boolean,
 ): Entry[] | undefined =>
-  readList(value, MOST_IN_NOTE, (entry) => isOfStart(entry) && isSound(entry));
+  readList(value, MAX_PER_NOTE, (entry) => namesUpstreamStart(entry) && isValid(entry));
 
-/** Reads a note; undefined when it isn't one. */
-export const readRateNews = (value: unknown): RateNews | undefined => {
+/** Reads a rate limit update; undefined when the value isn't one. */
+export const readRateLimitUpdate = (value: unknown): RateNews | undefined => {
   if (!isObject(value)) return undefined;
-  const limits = listOf<AdvertisedLimit>(
+  const limits = readEntries<AdvertisedLimit>(
     value.limits,
-    ({ perSecond }) => perSecond === null || isAmount(perSecond),
+    ({ perSecond }) => perSecond === null || isNonNegative(perSecond),
   );
-  const sent = listOf<SentRequests>(value.sent, ({ requests }) => isAmount(requests));
+  const sent = readEntries<SentRequests>(value.sent, ({ requests }) => isNonNegative(requests));
   return limits && sent && { limits, sent };
 };
--- a/packages/gateway/src/mesh/read-list.ts
+++ b/packages/gateway/src/mesh/read-list.ts
@@ -1,12 +1,12 @@
 import { isObject } from '@plantaindrum/common';
 
-/** Reads a list of objects from a peer's note; undefined where one is unsound or there are more than `most`. */
+/** Reads a list of objects from a peer's note; undefined if an entry is invalid or there are more than `maxLength`. */
 export const readList = <Entry>(
   value: unknown,
-  most: number,
-  isSound: (entry: Record<string, unknown>) => boolean,
+  maxLength: number,
+  isValid: (entry: Record<string, unknown>) => boolean,
 ): Entry[] | undefined => {
-  if (!Array.isArray(value) || value.length > most) return undefined;
-  const all = value as unknown[];
-  return all.every((entry) => isObject(entry) && isSound(entry)) ? (value as Entry[]) : undefined;
+  if (!Array.isArray(value) || value.length > maxLength) return undefined;
+  const list = value as unknown[];
+  return list.every((entry) => isObject(entry) && isValid(entry)) ? (value as Entry[]) : undefined;
 };
--- a/packages/gateway/src/quarantine/crash-evidence.ts
+++ b/packages/gateway/src/quarantine/crash-evidence.ts
@@ -1,188 +1,195 @@
 /**
- * Which requests crash the servers that run them, from crashes in which each was under way.
+ * Identifies requests that crash upstreams, from the crashes in which each request was in flight.
  *
- * The pattern: a request ends its upstream's process, its caller or another one sends it again, and it ends the
- * next. In an expert group each such crash stops all ranks. One crash proves nothing, as all that run at an upstream
- * when it dies were under way; nor do many at once, as a popular request runs at ten upstreams that lose power
- * together. What tells them apart is that the request was sent again after a crash, crashed again, and never ran
- * well in between.
+ * A harmful request ends its upstream's process; its caller or another one sends it again, and it ends the next
+ * process. In an expert group each such crash stops all ranks. One crash proves nothing, as every request at the
+ * upstream was in flight when it ended. Nor do many crashes at once: a popular request runs at ten upstreams that lose
+ * power together. A request counts as harmful when it was sent again after a crash, was in flight in another crash, and
+ * never succeeded in between.
  */
 
 import type { Clock } from '@plantaindrum/common';
 
-/** An upstream's process that ended while a request was under way there (times monotonic, ms). */
+/** The end of an upstream's process while a request was in flight there (times monotonic, ms). */
 export interface Crash {
-  /** The start of the upstream that ended. */
+  /** Identifies the start of the upstream that ended. */
   instance: string;
   sentAt: number;
   endedAt: number;
 }
 
-/** How a request may be treated. */
+/** How a request is to be treated. */
 export type Verdict =
   | 'clear'
-  /** It was under way in a crash and is not known to have run well: one attempt at a time. */
+  /** It was in flight in a crash and is not known to have succeeded: only one attempt at a time is allowed. */
   | 'suspect'
   /** It is not sent to any upstream. */
   | 'quarantined';
 
-/** What is known of one request. */
-export interface CaseFile {
+/** Evidence about one request. */
+export interface SuspectRecord {
   crashes: readonly Crash[];
-  /** When its last quarantine began and ends (monotonic, ms); undefined where it had none. */
+  /** The last quarantine, which may be over; undefined if there was none. */
   quarantine: Quarantine | undefined;
 }
 
-/** Times of a quarantine (monotonic, ms). */
+/** Start and end of a quarantine (monotonic, ms). */
 export interface Quarantine {
   since: number;
   until: number;
 }
 
-/** What a new word changed. */
-export interface Change {
+/** Effect of a new piece of evidence. */
+export interface EvidenceChange {
   verdict: Verdict;
-  /** The word was news, and others should hear of it. */
-  isNews: boolean;
+  /** The evidence was not known before, and is to be forwarded to the other entries. */
+  isNew: boolean;
 }
 
-/** Crashes by the fingerprint of the request. */
+/** Crash evidence by the fingerprint of the request. */
 export interface CrashEvidence {
-  /** A request was under way in a crash. */
-  noteCrash(fingerprint: string, crash: Crash): Change;
-  /** A request ran well at this time, or an operator says that it does; true when that took evidence away. */
-  noteSound(fingerprint: string, at: number): boolean;
-  /** It is in quarantine between these times, as another entry or a record says. */
-  noteQuarantine(fingerprint: string, since: number, until: number): Change;
+  /** Records a crash in which a request was in flight. */
+  recordCrash(fingerprint: string, crash: Crash): EvidenceChange;
+  /** Records that a request succeeded at this time or was cleared by an operator; true if that removed evidence. */
+  recordSuccess(fingerprint: string, at: number): boolean;
+  /** Records a quarantine that another entry or a stored record reports. */
+  recordQuarantine(fingerprint: string, since: number, until: number): EvidenceChange;
   verdict(fingerprint: string): Verdict;
-  caseOf(fingerprint: string): CaseFile | undefined;
-  /** Fingerprints that any evidence is held of. */
-  all(): string[];
+  suspectRecord(fingerprint: string): SuspectRecord | undefined;
+  /** Fingerprints for which there is evidence. */
+  fingerprints(): string[];
 }
 
-/** Crashes of so many upstreams make a quarantine, in at least two sends one after the other. */
-const CRASHES = 3;
-const ROUNDS = 2;
-/** A crash says nothing any more after this long, in ms. */
-const EVIDENCE_MS = 600_000;
-/** How long a quarantine lasts, in ms; one more crash after it begins the next. */
-export const QUARANTINE_MS = 600_000;
-/** Requests of which evidence is held, and crashes of one; the oldest are forgotten first. */
-export const MOST_CASES = 1_024;
-const MOST_CRASHES = 8;
-/** Requests that are remembered as having run well. */
-const MOST_SOUND = 4_096;
-
-interface OpenCase {
+/** Number of crashes that lead to a quarantine, and how many of them must have come one after the other. */
+const MIN_CRASHES = 3;
+const MIN_SUCCESSIVE_CRASHES = 2;
+/** Age at which a crash no longer counts, in ms. */
+const EVIDENCE_TTL_MS = 600_000;
+/** Duration of a quarantine, in ms; one more crash after its end starts the next one. */
+export const QUARANTINE_DURATION_MS = 600_000;
+/** Max requests with evidence, and max crashes kept for each; the oldest are dropped first. */
+export const MAX_SUSPECTS = 1_024;
+const MAX_CRASHES_PER_SUSPECT = 8;
+/** Max requests remembered as having succeeded. */
+const MAX_SUCCESSES = 4_096;
+
+interface MutableSuspectRecord {
   crashes: Crash[];
   quarantine: Quarantine | undefined;
 }
 
-/** Sends one after the other: each begins when the upstream of the one before has ended. */
-export const roundsOf = (crashes: readonly Crash[]): number => {
-  let rounds = 0;
+/** Counts crashes one after the other: each counted one had its request sent after the one before had ended. */
+export const countSuccessiveCrashes = (crashes: readonly Crash[]): number => {
+  let count = 0;
   let endedAt = -Infinity;
   [...crashes]
     .sort((a, b) => a.endedAt - b.endedAt)
     .forEach((crash) => {
       if (crash.sentAt < endedAt) return;
-      rounds += 1;
+      count += 1;
       endedAt = crash.endedAt;
     });
-  return rounds;
+  return count;
 };
 
-/** Keeps a map's newest entries; the oldest go first. */
-const keepNewest = (map: Map<string, unknown>, most: number): void => {
+/** Drops a map's oldest entry when it exceeds the size. */
+const dropOldest = (map: Map<string, unknown>, maxSize: number): void => {
   const [oldest] = map.keys();
-  if (map.size > most && oldest !== undefined) map.delete(oldest);
+  if (map.size > maxSize && oldest !== undefined) map.delete(oldest);
 };
 
-/** Creates the record. */
+/** Creates an empty collection of evidence. */
 export const createCrashEvidence = (clock: Clock): CrashEvidence => {
-  const cases = new Map<string, OpenCase>();
-  const soundAt = new Map<string, number>();
+  const suspects = new Map<string, MutableSuspectRecord>();
+  const successTimes = new Map<string, number>();
 
-  const isOver = ({ quarantine }: OpenCase): boolean =>
-    quarantine === undefined || clock.monotonic() - quarantine.until > EVIDENCE_MS;
+  const isQuarantineExpired = ({ quarantine }: MutableSuspectRecord): boolean =>
+    quarantine === undefined || clock.monotonic() - quarantine.until > EVIDENCE_TTL_MS;
 
-  const current = (fingerprint: string): OpenCase | undefined => {
-    const open = cases.get(fingerprint);
-    if (!open) return undefined;
+  const findSuspect = (fingerprint: string): MutableSuspectRecord | undefined => {
+    const suspect = suspects.get(fingerprint);
+    if (!suspect) return undefined;
     const now = clock.monotonic();
-    open.crashes = open.crashes.filter(({ endedAt }) => now - endedAt < EVIDENCE_MS);
-    if (open.crashes.length === 0 && isOver(open)) cases.delete(fingerprint);
-    return cases.get(fingerprint);
+    suspect.crashes = suspect.crashes.filter(({ endedAt }) => now - endedAt < EVIDENCE_TTL_MS);
+    if (suspect.crashes.length === 0 && isQuarantineExpired(suspect)) suspects.delete(fingerprint);
+    return suspects.get(fingerprint);
   };
 
-  const openCase = (fingerprint: string): OpenCase => {
-    const open = current(fingerprint) ?? { crashes: [], quarantine: undefined };
-    cases.delete(fingerprint);
-    cases.set(fingerprint, open);
-    keepNewest(cases, MOST_CASES);
-    return open;
+  const findOrAddSuspect = (fingerprint: string): MutableSuspectRecord => {
+    const suspect = findSuspect(fingerprint) ?? { crashes: [], quarantine: undefined };
+    suspects.delete(fingerprint);
+    suspects.set(fingerprint, suspect);
+    dropOldest(suspects, MAX_SUSPECTS);
+    return suspect;
   };
 
-  const lastSound = (fingerprint: string): number => soundAt.get(fingerprint) ?? -Infinity;
+  const lastSuccessAt = (fingerprint: string): number => successTimes.get(fingerprint) ?? -Infinity;
 
-  const isProved = (fingerprint: string, { crashes, quarantine }: OpenCase): boolean => {
-    // After a quarantine has run out, one more crash is enough.
+  const isProven = (
+    fingerprint: string,
+    { crashes, quarantine }: MutableSuspectRecord,
+  ): boolean => {
+    // One more crash after the end of a quarantine is enough.
     if (quarantine) return true;
-    const rounds = roundsOf(crashes);
-    // A request that ran well before is popular rather than harmful: upstreams that die together count once.
-    if (soundAt.has(fingerprint)) return rounds >= CRASHES;
-    return crashes.length >= CRASHES && rounds >= ROUNDS;
+    const successiveCrashes = countSuccessiveCrashes(crashes);
+    // A request that succeeded before is more likely popular than harmful: upstreams that end together count once.
+    if (successTimes.has(fingerprint)) return successiveCrashes >= MIN_CRASHES;
+    return crashes.length >= MIN_CRASHES && successiveCrashes >= MIN_SUCCESSIVE_CRASHES;
   };
 
   const verdict = (fingerprint: string): Verdict => {
-    const open = current(fingerprint);
-    if (!open) return 'clear';
-    if ((open.quarantine?.until ?? -Infinity) > clock.monotonic()) return 'quarantined';
-    return soundAt.has(fingerprint) ? 'clear' : 'suspect';
+    const suspect = findSuspect(fingerprint);
+    if (!suspect) return 'clear';
+    if ((suspect.quarantine?.until ?? -Infinity) > clock.monotonic()) return 'quarantined';
+    return successTimes.has(fingerprint) ? 'clear' : 'suspect';
   };
 
   return {
-    noteCrash: (fingerprint, crash) => {
+    recordCrash: (fingerprint, crash) => {
       const now = clock.monotonic();
       const isOutdated =
-        now - crash.endedAt >= EVIDENCE_MS || crash.endedAt <= lastSound(fingerprint);
-      const isKnown = current(fingerprint)?.crashes.some(
+        now - crash.endedAt >= EVIDENCE_TTL_MS || crash.endedAt <= lastSuccessAt(fingerprint);
+      const isKnown = findSuspect(fingerprint)?.crashes.some(
         ({ instance }) => instance === crash.instance,
       );
-      if (isOutdated || isKnown) return { verdict: verdict(fingerprint), isNews: false };
-      const open = openCase(fingerprint);
-      open.crashes = [...open.crashes, crash].slice(-MOST_CRASHES);
-      if (verdict(fingerprint) !== 'quarantined' && isProved(fingerprint, open)) {
-        open.quarantine = { since: now, until: now + QUARANTINE_MS };
+      if (isOutdated || isKnown) return { verdict: verdict(fingerprint), isNew: false };
+      const suspect = findOrAddSuspect(fingerprint);
+      suspect.crashes = [...suspect.crashes, crash].slice(-MAX_CRASHES_PER_SUSPECT);
+      if (verdict(fingerprint) !== 'quarantined' && isProven(fingerprint, suspect)) {
+        suspect.quarantine = { since: now, until: now + QUARANTINE_DURATION_MS };
       }
-      return { verdict: verdict(fingerprint), isNews: true };
+      return { verdict: verdict(fingerprint), isNew: true };
     },
-    noteSound: (fingerprint, at) => {
-      if (at <= lastSound(fingerprint)) return false;
-      soundAt.delete(fingerprint);
-      soundAt.set(fingerprint, at);
-      keepNewest(soundAt, MOST_SOUND);
-      const open = current(fingerprint);
-      if (!open) return false;
-      const left = open.crashes.filter(({ endedAt }) => endedAt > at);
-      const isReleased = open.quarantine !== undefined && open.quarantine.since <= at;
-      const hasChanged = left.length < open.crashes.length || isReleased;
-      open.crashes = left;
-      if (isReleased) open.quarantine = undefined;
-      if (left.length === 0 && !open.quarantine) cases.delete(fingerprint);
+    recordSuccess: (fingerprint, at) => {
+      if (at <= lastSuccessAt(fingerprint)) return false;
+      successTimes.delete(fingerprint);
+      successTimes.set(fingerprint, at);
+      dropOldest(successTimes, MAX_SUCCESSES);
+      const suspect = findSuspect(fingerprint);
+      if (!suspect) return false;
+      const laterCrashes = suspect.crashes.filter(({ endedAt }) => endedAt > at);
+      const endsQuarantine = suspect.quarantine !== undefined && suspect.quarantine.since <= at;
+      const hasChanged = laterCrashes.length < suspect.crashes.length || endsQuarantine;
+      suspect.crashes = laterCrashes;
+      if (endsQuarantine) suspect.quarantine = undefined;
+      if (laterCrashes.length === 0 && !suspect.quarantine) suspects.delete(fingerprint);
       return hasChanged;
     },
-    noteQuarantine: (fingerprint, since, until) => {
+    recordQuarantine: (fingerprint, since, until) => {
       const now = clock.monotonic();
-      const isOutdated = until <= now || since <= lastSound(fingerprint);
+      const isOutdated = until <= now || since <= lastSuccessAt(fingerprint);
       if (isOutdated || verdict(fingerprint) === 'quarantined') {
-        return { verdict: verdict(fingerprint), isNews: false };
+        return { verdict: verdict(fingerprint), isNew: false };
       }
-      openCase(fingerprint).quarantine = { since, until: Math.min(until, now + QUARANTINE_MS) };
-      return { verdict: 'quarantined', isNews: true };
+      findOrAddSuspect(fingerprint).quarantine = {
+        since,
+        until: Math.min(until, now + QUARANTINE_DURATION_MS),
+      };
+      return { verdict: 'quarantined', isNew: true };
     },
     verdict,
-    caseOf: current,
-    all: () => [...cases.keys()].filter((fingerprint) => current(fingerprint) !== undefined),
+    suspectRecord: findSuspect,
+    fingerprints: () =>
+      [...suspects.keys()].filter((fingerprint) => findSuspect(fingerprint) !== undefined),
   };
 };
--- a/packages/gateway/src/quarantine/news-teller.ts
+++ b/packages/gateway/src/quarantine/news-teller.ts
@@ -1,56 +1,65 @@
 import type { Clock } from '@plantaindrum/common';
-import { MOST_IN_NOTE } from './news.js';
+import { MAX_REPORTS_PER_NOTE } from './news.js';
 import type { News } from './news.js';
 
-/** Kinds of entries in a note. */
-export type NewsKind = 'crashes' | 'quarantined' | 'sound';
+/** Kinds of reports in a quarantine update. */
+export type ReportKind = 'crashes' | 'quarantined' | 'sound';
 
-/** Collects what the other entries are to hear. */
-export interface NewsTeller {
-  add<Kind extends NewsKind>(kind: Kind, entry: News[Kind][number]): void;
-  /** Sends a note although nothing was added: what is tried here has changed. */
-  soon(): void;
+/** Collects reports and broadcasts them to the other entries in batches. */
+export interface QuarantineBroadcaster {
+  add<Kind extends ReportKind>(kind: Kind, report: News[Kind][number]): void;
+  /** Schedules a broadcast without a new report: the set of local trials has changed. */
+  schedule(): void;
   close(): void;
 }
 
-/** Options of `createNewsTeller`. */
-export interface NewsTellerOptions {
-  tell: (news: News) => void;
-  /** Suspects that are being tried at this entry. */
-  tried: () => readonly string[];
+/** Options of `createQuarantineBroadcaster`. */
+export interface QuarantineBroadcasterOptions {
+  broadcast: (update: News) => void;
+  /** Returns the suspect requests under trial at this entry. */
+  underTrial: () => readonly string[];
   clock: Clock;
 }
 
-/** News are collected this long, in ms: upstreams that lose power together make hundreds. */
-const TELL_MS = 40;
+/** Time for which reports are collected, in ms: upstreams that lose power together cause hundreds of them. */
+const BROADCAST_DELAY_MS = 40;
 
-/** A note that says nothing. */
-export const noNews = (): News => ({ crashes: [], quarantined: [], sound: [], tried: [] });
+/** Creates an update without reports. */
+export const emptyQuarantineUpdate = (): News => ({
+  crashes: [],
+  quarantined: [],
+  sound: [],
+  tried: [],
+});
 
-/** Creates the teller; it sends nothing after `close`. */
-export const createNewsTeller = ({ tell, tried, clock }: NewsTellerOptions): NewsTeller => {
-  let news = noNews();
-  let isPlanned = false;
+/** Creates the broadcaster; it sends nothing after `close`. */
+export const createQuarantineBroadcaster = ({
+  broadcast,
+  underTrial,
+  clock,
+}: QuarantineBroadcasterOptions): QuarantineBroadcaster => {
+  let pending = emptyQuarantineUpdate();
+  let isScheduled = false;
   let isClosed = false;
 
-  const soon = (): void => {
-    if (isPlanned) return;
-    isPlanned = true;
-    clock.after(TELL_MS, () => {
-      isPlanned = false;
-      const told = { ...news, tried: tried().slice(0, MOST_IN_NOTE) };
-      news = noNews();
-      if (!isClosed) tell(told);
+  const schedule = (): void => {
+    if (isScheduled) return;
+    isScheduled = true;
+    clock.after(BROADCAST_DELAY_MS, () => {
+      isScheduled = false;
+      const update = { ...pending, tried: underTrial().slice(0, MAX_REPORTS_PER_NOTE) };
+      pending = emptyQuarantineUpdate();
+      if (!isClosed) broadcast(update);
     });
   };
 
   return {
-    add: (kind, entry) => {
-      const list = news[kind] as (typeof entry)[];
-      if (list.length < MOST_IN_NOTE) list.push(entry);
-      soon();
+    add: (kind, report) => {
+      const reports = pending[kind] as (typeof report)[];
+      if (reports.length < MAX_REPORTS_PER_NOTE) reports.push(report);
+      schedule();
     },
-    soon,
+    schedule,
     close: () => {
       isClosed = true;
     },
--- a/packages/gateway/src/quarantine/news.ts
+++ b/packages/gateway/src/quarantine/news.ts
@@ -1,41 +1,41 @@
-/** What entries tell each other of requests that crash upstreams. Times are ages: clocks of VMs differ. */
+/** Updates that entries broadcast about requests that crash upstreams. Times are sent as ages, as VMs' clocks differ. */
 
 import { isNumber, isObject } from '@plantaindrum/common';
 import { readList } from '../mesh/read-list.js';
 import { FINGERPRINT_CHARS } from './fingerprint.js';
 
-/** A request was under way at an upstream that ended. */
-export interface CrashNews {
+/** Reports that an upstream ended while a request was in flight there. */
+export interface CrashReport {
   fingerprint: string;
   instance: string;
   sentAgoMs: number;
   endedAgoMs: number;
 }
 
-/** A request is in quarantine. */
-export interface QuarantineNews {
+/** Reports that a request is quarantined. */
+export interface QuarantineReport {
   fingerprint: string;
   sinceAgoMs: number;
   leftMs: number;
 }
 
-/** A request has run well. */
-export interface SoundNews {
+/** Reports that a request has succeeded. */
+export interface SuccessReport {
   fingerprint: string;
   agoMs: number;
 }
 
-/** One note to a peer. */
+/** Content of one note to a peer. */
 export interface News {
-  crashes: CrashNews[];
-  quarantined: QuarantineNews[];
-  sound: SoundNews[];
-  /** Suspect requests that are being tried here now; those that were named before and are not now have ended. */
+  crashes: CrashReport[];
+  quarantined: QuarantineReport[];
+  sound: SuccessReport[];
+  /** All suspect requests under trial at the sender; a trial that is no longer listed has ended. */
   tried: string[];
 }
 
-/** Most entries of each kind in one note: a bound on what a peer can make this entry do. */
-export const MOST_IN_NOTE = 256;
+/** Max reports of each kind in one note: bounds the work that a peer can cause here. */
+export const MAX_REPORTS_PER_NOTE = 256;
 
 const fingerprintText = new RegExp(`^[0-9a-f]{${FINGERPRINT_CHARS}}$`);
 
@@ -44,27 +44,31 @@
 
 const isAge = (value: unknown): value is number => isNumber(value) && value >= 0;
 
-const listOf = <Entry>(
+const readReports = <Entry>(
   value: unknown,
-  isSound: (entry: Record<string, unknown>) => boolean,
+  isValid: (entry: Record<string, unknown>) => boolean,
 ): Entry[] | undefined =>
-  readList(value, MOST_IN_NOTE, (entry) => isFingerprint(entry.fingerprint) && isSound(entry));
+  readList(
+    value,
+    MAX_REPORTS_PER_NOTE,
+    (entry) => isFingerprint(entry.fingerprint) && isValid(entry),
+  );
 
-/** Whether a value is a crash as entries and records tell it. */
+/** Whether a value is a valid crash report. */
 const isCrash = ({ instance, sentAgoMs, endedAgoMs }: Record<string, unknown>): boolean =>
   typeof instance === 'string' && isAge(sentAgoMs) && isAge(endedAgoMs) && sentAgoMs >= endedAgoMs;
 
-/** Reads a note; undefined when it isn't one. */
-export const readNews = (value: unknown): News | undefined => {
+/** Reads a quarantine update; undefined when the value isn't one. */
+export const readQuarantineUpdate = (value: unknown): News | undefined => {
   if (!isObject(value)) return undefined;
-  const crashes = listOf<CrashNews>(value.crashes, isCrash);
-  const quarantined = listOf<QuarantineNews>(
+  const crashes = readReports<CrashReport>(value.crashes, isCrash);
+  const quarantined = readReports<QuarantineReport>(
     value.quarantined,
     ({ sinceAgoMs, leftMs }) => isAge(sinceAgoMs) && isAge(leftMs),
   );
-  const sound = listOf<SoundNews>(value.sound, ({ agoMs }) => isAge(agoMs));
+  const sound = readReports<SuccessReport>(value.sound, ({ agoMs }) => isAge(agoMs));
   const { tried } = value;
-  if (!Array.isArray(tried) || tried.length > MOST_IN_NOTE || !tried.every(isFingerprint)) {
+  if (!Array.isArray(tried) || tried.length > MAX_REPORTS_PER_NOTE || !tried.every(isFingerprint)) {
     return undefined;
   }
   if (!crashes || !quarantined || !sound) return undefined;
--- a/packages/gateway/src/quarantine/quarantine.ts
+++ b/packages/gateway/src/quarantine/quarantine.ts
@@ -1,68 +1,68 @@
-/** Keeps requests that crash upstreams away from them, together with the other entries. */
+/** Keeps requests that crash upstreams away from them, and shares the evidence with the other entries. */
 
 import type { Clock, EventLog, Metrics } from '@plantaindrum/common';
 import type { KeyedChange, RestoreSource } from '@plantaindrum/mirror';
 import type { UpstreamStart } from '../types.js';
 import { createCrashEvidence } from './crash-evidence.js';
 import type { Crash, Verdict } from './crash-evidence.js';
-import { MOST_IN_NOTE, readNews } from './news.js';
-import type { CrashNews, News } from './news.js';
-import { createNewsTeller, noNews } from './news-teller.js';
+import { MAX_REPORTS_PER_NOTE, readQuarantineUpdate } from './news.js';
+import type { CrashReport, News } from './news.js';
+import { createQuarantineBroadcaster, emptyQuarantineUpdate } from './news-teller.js';
 import { createRecordWriter } from './record-writer.js';
 import { decodeRecord, encodeRecord } from './record.js';
-import { createRunsAtUpstreams } from './runs-at-upstreams.js';
-import { createTriedSuspects } from './tried-suspects.js';
-import type { CrashedRun } from './runs-at-upstreams.js';
+import { createUpstreamAttempts } from './runs-at-upstreams.js';
+import { createSuspectTrials } from './tried-suspects.js';
+import type { CrashedAttempt } from './runs-at-upstreams.js';
 
 /** Why a request is not sent to an upstream. */
 export type QuarantineRefusal =
   | { reason: 'quarantined'; retryAfterMs: number }
-  /** It is suspect and is being tried already; how that ends is not known yet. */
+  /** It is suspect and under trial; the outcome is not known yet. */
   | { reason: 'crash-suspect' };
 
-/** One attempt, as the quarantine watches it. */
+/** One attempt, as observed by the quarantine. */
 export interface QuarantineRun {
   /** The upstream refused without running the request. */
   noteNotRun(): void;
-  /** An event of its stream has come. */
+  /** An event of the stream has been received. */
   noteEvent(): void;
-  /** The upstream has answered whole. */
+  /** The complete answer has been received. */
   noteWhole(): void;
-  /** Whether the upstream is known not to have died of it. */
+  /** Whether the upstream is known not to have crashed on the request. */
   hasSurvived(): boolean;
-  /** The attempt has ended in any way. */
+  /** The attempt has ended, for whatever reason. */
   end(): void;
 }
 
 /** The quarantine of one entry. */
 export interface RequestQuarantine {
-  /** Why a request may not be sent now; undefined where it may. */
+  /** Returns why a request may not be sent now; undefined if it may. */
   refusal(fingerprint: string): QuarantineRefusal | undefined;
-  /** Whether it was under way in a crash and is not known to run well. */
+  /** Whether the request was in flight in a crash and is not known to have succeeded. */
   isSuspect(fingerprint: string): boolean;
   begin(fingerprint: string, upstream: UpstreamStart): QuarantineRun;
-  /** An upstream's process has ended; `proof` says how that is known. */
+  /** Handles the end of an upstream's process; `proof` says how it was established. */
   noteEnded(upstream: UpstreamStart, proof: EndProof): void;
-  /** Takes a peer's note. */
+  /** Handles a quarantine update from a peer, not yet validated. */
   takeNews(peer: string, value: unknown): void;
   forgetPeer(peer: string): void;
-  /** All that is held, for a peer that is newly linked. */
+  /** Returns all evidence, for a peer that is newly linked. */
   whole(): News;
-  /** Takes a change of the platform's record. */
+  /** Applies a change of a quarantine record on the platform. */
   takeRecord(change: KeyedChange): void;
-  /** The platform's log was restored from an older copy, which lacks these records. */
+  /** Handles a restore of the platform's log from an older copy, which lacks the records in `lost`. */
   noteRestored(lost: readonly string[], source: RestoreSource): void;
   close(): void;
 }
 
-/** How it is known that an upstream's process has ended. */
+/** How the end of an upstream's process was established. */
 export type EndProof = 'refused-connection' | 'other-instance' | 'started-again';
 
 /** Options of `createQuarantine`. */
 export interface QuarantineOptions {
-  /** Tells all linked entries. */
-  tell: (news: News) => void;
-  /** Writes a value under a key of the platform's record, or drops the key; false when not known to have worked. */
+  /** Sends an update to all linked entries. */
+  tell: (update: News) => void;
+  /** Writes a record under a key, or deletes the key without one; false unless known to have succeeded. */
   publish: (key: string, value: Uint8Array | undefined) => Promise<boolean>;
   clock: Clock;
   metrics: Metrics;
@@ -70,111 +70,122 @@
 }
 
 /**
- * An upstream may end with the first token that it makes. One that makes events for this long, in ms, does not
- * die of the request.
+ * Time after its first event from which a stream counts as a success, in ms. An upstream may crash on the first token
+ * that it makes; one that keeps sending events for this long doesn't crash on the request.
  */
-const SOUND_AFTER_MS = 500;
-/** Crashed upstreams from which a suspect is tried by one entry at a time. */
-const TRIED_BY_ONE = 2;
-/** A quarantine that another entry told of is written from here when it isn't on the platform by then, in ms. */
-const RECORD_DUE_MS = 3_000;
+const SUCCESS_AFTER_MS = 500;
+/** Number of crashes from which only one entry at a time may send a suspect request. */
+const EXCLUSIVE_TRIAL_CRASHES = 2;
+/** Time after which this entry writes the record of a quarantine that a peer reported but hasn't recorded, in ms. */
+const PEER_RECORD_DELAY_MS = 3_000;
 
 const startId = ({ instance, startedAt }: UpstreamStart): string => `${instance}@${startedAt}`;
 
-/** Creates the quarantine of one entry; it writes its record until `close`. */
+/** Creates the quarantine of one entry; it writes quarantine records until `close`. */
 export const createQuarantine = (options: QuarantineOptions): RequestQuarantine => {
   const { clock, metrics, log } = options;
   const evidence = createCrashEvidence(clock);
   const recorded = new Set<string>();
-  /** Recorded as in quarantine, though they have run well since. */
+  /** Requests that are recorded as quarantined although they have succeeded since. */
   const outdatedRecords = new Set<string>();
-  const tried = createTriedSuspects(clock);
-  const teller = createNewsTeller({ tell: options.tell, tried: tried.here, clock });
+  const trials = createSuspectTrials(clock);
+  const broadcaster = createQuarantineBroadcaster({
+    broadcast: options.tell,
+    underTrial: trials.localTrials,
+    clock,
+  });
 
-  const ago = (at: number): number => Math.max(0, clock.monotonic() - at);
+  const elapsedSince = (at: number): number => Math.max(0, clock.monotonic() - at);
 
-  const toNews = (fingerprint: string, { instance, sentAt, endedAt }: Crash): CrashNews => ({
+  const toCrashReport = (
+    fingerprint: string,
+    { instance, sentAt, endedAt }: Crash,
+  ): CrashReport => ({
     fingerprint,
     instance,
-    sentAgoMs: ago(sentAt),
-    endedAgoMs: Math.min(ago(sentAt), ago(endedAt)),
+    sentAgoMs: elapsedSince(sentAt),
+    endedAgoMs: Math.min(elapsedSince(sentAt), elapsedSince(endedAt)),
   });
 
-  const quarantineOf = (fingerprint: string): News['quarantined'] => {
-    const { quarantine } = evidence.caseOf(fingerprint) ?? {};
+  /** Returns the report of a request's quarantine; empty if it isn't quarantined. */
+  const quarantineReports = (fingerprint: string): News['quarantined'] => {
+    const { quarantine } = evidence.suspectRecord(fingerprint) ?? {};
     if (!quarantine || evidence.verdict(fingerprint) !== 'quarantined') return [];
     const leftMs = quarantine.until - clock.monotonic();
-    return [{ fingerprint, sinceAgoMs: ago(quarantine.since), leftMs }];
+    return [{ fingerprint, sinceAgoMs: elapsedSince(quarantine.since), leftMs }];
   };
 
   const recordOf = (fingerprint: string): Uint8Array | undefined => {
-    const [held] = quarantineOf(fingerprint);
+    const [report] = quarantineReports(fingerprint);
     const now = clock.now();
-    return held && encodeRecord({ since: now - held.sinceAgoMs, until: now + held.leftMs });
+    return report && encodeRecord({ since: now - report.sinceAgoMs, until: now + report.leftMs });
   };
 
   const writer = createRecordWriter({ publish: options.publish, recordOf, clock, log });
 
-  const noteVerdict = (fingerprint: string, verdict: Verdict, from: string): void => {
-    const { crashes = [] } = evidence.caseOf(fingerprint) ?? {};
+  const logVerdict = (fingerprint: string, verdict: Verdict, from: string): void => {
+    const { crashes = [] } = evidence.suspectRecord(fingerprint) ?? {};
     log.event('request-crash-evidence', { fingerprint, verdict, crashes: crashes.length, from });
     if (verdict === 'quarantined') metrics.count('gateway_quarantined', { from });
   };
 
-  /** A crash that this entry has seen: the others hear of it, and the record where it is the last one needed. */
-  const noteCrash = ({ fingerprint, crash }: CrashedRun): void => {
-    const { verdict, isNews } = evidence.noteCrash(fingerprint, crash);
-    if (!isNews) return;
+  /** Reports a crash seen by this entry to the others, and records the quarantine if the crash leads to one. */
+  const handleCrash = ({ fingerprint, crash }: CrashedAttempt): void => {
+    const { verdict, isNew } = evidence.recordCrash(fingerprint, crash);
+    if (!isNew) return;
     metrics.count('gateway_crashes_seen');
-    noteVerdict(fingerprint, verdict, 'own');
-    teller.add('crashes', toNews(fingerprint, crash));
+    logVerdict(fingerprint, verdict, 'own');
+    broadcaster.add('crashes', toCrashReport(fingerprint, crash));
     if (verdict !== 'quarantined') return;
-    quarantineOf(fingerprint).forEach((entry) => teller.add('quarantined', entry));
+    quarantineReports(fingerprint).forEach((report) => broadcaster.add('quarantined', report));
     writer.write(fingerprint);
   };
 
-  const runs = createRunsAtUpstreams(clock, noteCrash);
+  const attempts = createUpstreamAttempts(clock, handleCrash);
 
-  const noteSound = (fingerprint: string): void => {
-    if (!evidence.noteSound(fingerprint, clock.monotonic())) return;
+  const handleSuccess = (fingerprint: string): void => {
+    if (!evidence.recordSuccess(fingerprint, clock.monotonic())) return;
     log.event('request-sound', { fingerprint });
-    teller.add('sound', { fingerprint, agoMs: 0 });
+    broadcaster.add('sound', { fingerprint, agoMs: 0 });
     if (recorded.has(fingerprint)) writer.write(fingerprint);
   };
 
-  /** What a peer's word has brought about; the record is written from here where that peer can't. */
-  const notePeerVerdict = (fingerprint: string, verdict: Verdict): void => {
-    noteVerdict(fingerprint, verdict, 'peer');
+  /** Handles a verdict that follows from a peer's report; writes the record here if the peer can't. */
+  const handlePeerVerdict = (fingerprint: string, verdict: Verdict): void => {
+    logVerdict(fingerprint, verdict, 'peer');
     if (verdict !== 'quarantined') return;
-    clock.after(RECORD_DUE_MS, () => {
-      const isHeld = evidence.verdict(fingerprint) === 'quarantined';
-      if (isHeld && !recorded.has(fingerprint)) writer.write(fingerprint);
+    clock.after(PEER_RECORD_DELAY_MS, () => {
+      const isQuarantined = evidence.verdict(fingerprint) === 'quarantined';
+      if (isQuarantined && !recorded.has(fingerprint)) writer.write(fingerprint);
     });
   };
 
-  const takePeerNews = (peer: string, told: News): void => {
+  const applyPeerUpdate = (peer: string, update: News): void => {
     const now = clock.monotonic();
-    told.sound.forEach(({ fingerprint, agoMs }) => {
-      const isNews = evidence.noteSound(fingerprint, now - agoMs);
-      if (isNews) log.event('request-sound', { fingerprint, peer });
+    update.sound.forEach(({ fingerprint, agoMs }) => {
+      const isNew = evidence.recordSuccess(fingerprint, now - agoMs);
+      if (isNew) log.event('request-sound', { fingerprint, peer });
     });
-    told.crashes.forEach(({ fingerprint, instance, sentAgoMs, endedAgoMs }) => {
+    update.crashes.forEach(({ fingerprint, instance, sentAgoMs, endedAgoMs }) => {
       const crash = { instance, sentAt: now - sentAgoMs, endedAt: now - endedAgoMs };
-      const { verdict, isNews } = evidence.noteCrash(fingerprint, crash);
-      if (isNews) notePeerVerdict(fingerprint, verdict);
+      const { verdict, isNew } = evidence.recordCrash(fingerprint, crash);
+      if (isNew) handlePeerVerdict(fingerprint, verdict);
     });
-    told.quarantined.forEach(({ fingerprint, sinceAgoMs, leftMs }) => {
-      const change = evidence.noteQuarantine(fingerprint, now - sinceAgoMs, now + leftMs);
-      if (change.isNews) notePeerVerdict(fingerprint, change.verdict);
+    update.quarantined.forEach(({ fingerprint, sinceAgoMs, leftMs }) => {
+      const change = evidence.recordQuarantine(fingerprint, now - sinceAgoMs, now + leftMs);
+      if (change.isNew) handlePeerVerdict(fingerprint, change.verdict);
     });
-    tried.notePeer(peer, told.tried);
+    trials.setPeerTrials(peer, update.tried);
   };
 
-  /** Writes what a restored log lacks, and drops what it has brought back. */
-  const writeRestored = (): void => {
+  /** Writes the records that a restored log lacks, and deletes the outdated ones that it brought back. */
+  const rewriteRecords = (): void => {
     const missing = evidence
-      .all()
-      .filter((each) => !recorded.has(each) && evidence.verdict(each) === 'quarantined');
+      .fingerprints()
+      .filter(
+        (fingerprint) =>
+          !recorded.has(fingerprint) && evidence.verdict(fingerprint) === 'quarantined',
+      );
     [...missing, ...outdatedRecords].forEach(writer.write);
   };
 
@@ -182,76 +193,84 @@
     refusal: (fingerprint) => {
       const verdict = evidence.verdict(fingerprint);
       if (verdict === 'clear') return undefined;
-      const [held] = quarantineOf(fingerprint);
-      if (held) return { reason: 'quarantined', retryAfterMs: held.leftMs };
-      const isTried = runs.underWay(fingerprint) > 0 || tried.isTriedByPeer(fingerprint);
-      return isTried ? { reason: 'crash-suspect' } : undefined;
+      const [report] = quarantineReports(fingerprint);
+      if (report) return { reason: 'quarantined', retryAfterMs: report.leftMs };
+      const isUnderTrial =
+        attempts.countInFlight(fingerprint) > 0 || trials.isUnderTrialByPeer(fingerprint);
+      return isUnderTrial ? { reason: 'crash-suspect' } : undefined;
     },
     isSuspect: (fingerprint) => evidence.verdict(fingerprint) === 'suspect',
     begin: (fingerprint, upstream) => {
-      const { crashes = [] } = evidence.caseOf(fingerprint) ?? {};
-      const isTold = crashes.length >= TRIED_BY_ONE && evidence.verdict(fingerprint) === 'suspect';
-      if (isTold) {
-        tried.begin(fingerprint);
-        teller.soon();
+      const { crashes = [] } = evidence.suspectRecord(fingerprint) ?? {};
+      const isExclusiveTrial =
+        crashes.length >= EXCLUSIVE_TRIAL_CRASHES && evidence.verdict(fingerprint) === 'suspect';
+      if (isExclusiveTrial) {
+        trials.begin(fingerprint);
+        broadcaster.schedule();
       }
-      const run = runs.begin(fingerprint, startId(upstream));
+      const attempt = attempts.begin(fingerprint, startId(upstream));
       let firstEventAt: number | undefined;
-      let isSound = false;
+      let hasSucceeded = false;
       let isRefused = false;
-      const survive = (): void => {
-        run.noteSurvived();
-        if (!isSound) noteSound(fingerprint);
-        isSound = true;
+      const markSucceeded = (): void => {
+        attempt.recordSurvived();
+        if (!hasSucceeded) handleSuccess(fingerprint);
+        hasSucceeded = true;
       };
       return {
         noteNotRun: () => {
           isRefused = true;
-          run.noteSurvived();
+          attempt.recordSurvived();
         },
         noteEvent: () => {
           firstEventAt ??= clock.monotonic();
-          if (!isSound && ago(firstEventAt) >= SOUND_AFTER_MS) survive();
+          if (!hasSucceeded && elapsedSince(firstEventAt) >= SUCCESS_AFTER_MS) markSucceeded();
         },
-        noteWhole: survive,
-        hasSurvived: () => isSound || isRefused,
+        noteWhole: markSucceeded,
+        hasSurvived: () => hasSucceeded || isRefused,
         end: () => {
-          run.end();
-          if (!isTold) return;
-          tried.end(fingerprint);
-          teller.soon();
+          attempt.end();
+          if (!isExclusiveTrial) return;
+          trials.end(fingerprint);
+          broadcaster.schedule();
         },
       };
     },
     noteEnded: (upstream, proof) => {
-      const crashed = runs.noteEnded(startId(upstream));
+      const crashed = attempts.handleUpstreamEnded(startId(upstream));
       if (crashed.length === 0) return;
       log.event('upstream-ended', { upstream: startId(upstream), proof, underWay: crashed.length });
-      crashed.forEach(noteCrash);
+      crashed.forEach(handleCrash);
     },
     takeNews: (peer, value) => {
-      const told = readNews(value);
-      if (told) takePeerNews(peer, told);
+      const update = readQuarantineUpdate(value);
+      if (update) applyPeerUpdate(peer, update);
       else {
         metrics.count('gateway_quarantine_news_unreadable');
         log.event('quarantine-news-unreadable', { peer });
       }
     },
-    forgetPeer: tried.forgetPeer,
+    forgetPeer: trials.forgetPeer,
     whole: () => {
-      const held = evidence.all().slice(-MOST_IN_NOTE);
-      const crashes = held.flatMap((fingerprint) =>
-        (evidence.caseOf(fingerprint)?.crashes ?? []).map((crash) => toNews(fingerprint, crash)),
+      const fingerprints = evidence.fingerprints().slice(-MAX_REPORTS_PER_NOTE);
+      const crashes = fingerprints.flatMap((fingerprint) =>
+        (evidence.suspectRecord(fingerprint)?.crashes ?? []).map((crash) =>
+          toCrashReport(fingerprint, crash),
+        ),
       );
-      const quarantined = held.flatMap(quarantineOf);
-      return { ...noNews(), crashes: crashes.slice(-MOST_IN_NOTE), quarantined };
+      const quarantined = fingerprints.flatMap(quarantineReports);
+      return {
+        ...emptyQuarantineUpdate(),
+        crashes: crashes.slice(-MAX_REPORTS_PER_NOTE),
+        quarantined,
+      };
     },
     takeRecord: ({ key, value }) => {
       if (value === undefined) {
         recorded.delete(key);
         outdatedRecords.delete(key);
-        // Dropped by an operator, or by an entry at which the request ran well.
-        if (evidence.noteSound(key, clock.monotonic())) {
+        // Deleted by an operator, or by an entry at which the request succeeded.
+        if (evidence.recordSuccess(key, clock.monotonic())) {
           log.event('request-sound', { fingerprint: key, from: 'record' });
         }
         return;
@@ -263,21 +282,25 @@
         return;
       }
       recorded.add(key);
-      const shift = clock.monotonic() - clock.now();
-      const change = evidence.noteQuarantine(key, record.since + shift, record.until + shift);
-      if (change.isNews) noteVerdict(key, change.verdict, 'record');
-      const isInForce = record.until + shift > clock.monotonic();
+      const unixToMonotonic = clock.monotonic() - clock.now();
+      const change = evidence.recordQuarantine(
+        key,
+        record.since + unixToMonotonic,
+        record.until + unixToMonotonic,
+      );
+      if (change.isNew) logVerdict(key, change.verdict, 'record');
+      const isInForce = record.until + unixToMonotonic > clock.monotonic();
       if (isInForce && change.verdict !== 'quarantined') outdatedRecords.add(key);
       else outdatedRecords.delete(key);
     },
     noteRestored: (lost, source) => {
       lost.forEach((key) => recorded.delete(key));
-      // The entry that read the restored log writes; the others write where it could not.
-      if (source === 'log') writeRestored();
-      else clock.after(RECORD_DUE_MS, writeRestored);
+      // The entry that read the restored log from the platform writes at once; the others only if it couldn't.
+      if (source === 'log') rewriteRecords();
+      else clock.after(PEER_RECORD_DELAY_MS, rewriteRecords);
     },
     close: () => {
-      teller.close();
+      broadcaster.close();
       writer.close();
     },
   };
--- a/packages/gateway/src/quarantine/record-writer.ts
+++ b/packages/gateway/src/quarantine/record-writer.ts
@@ -1,29 +1,29 @@
 import type { Clock, EventLog } from '@plantaindrum/common';
 import { createPause } from '@plantaindrum/common';
 
-/** Keeps the platform's record of requests in quarantine as this entry knows them. */
+/** Writes the quarantine records of this entry to the platform. */
 export interface RecordWriter {
-  /** Writes what is known of a request now, until that has worked. */
+  /** Writes the current record of a request, and retries until that succeeds. */
   write(fingerprint: string): void;
   close(): void;
 }
 
 /** Options of `createRecordWriter`. */
 export interface RecordWriterOptions {
-  /** Writes a value under a key, or drops the key; false when not known to have worked. */
+  /** Writes a value under a key, or deletes the key without one; false unless known to have succeeded. */
   publish: (key: string, value: Uint8Array | undefined) => Promise<boolean>;
-  /** The record of a request; undefined when it is in no quarantine, and its key is dropped. */
+  /** Returns a request's record; undefined when it isn't quarantined, in which case its key is deleted. */
   recordOf: (fingerprint: string) => Uint8Array | undefined;
   clock: Clock;
   log: EventLog;
 }
 
-/** Pause between two tries, in ms. */
-const AGAIN_MS = 1_000;
-/** Requests that wait to be written: a bound on calls to the platform. */
-const MOST_WAITING = 64;
+/** Delay before a failed write is retried, in ms. */
+const RETRY_DELAY_MS = 1_000;
+/** Max requests waiting to be written: bounds the calls to the platform. */
+const MAX_WAITING = 64;
 
-/** Creates the writer: one call at a time. */
+/** Creates the writer, which makes one call at a time. */
 export const createRecordWriter = (options: RecordWriterOptions): RecordWriter => {
   const { publish, recordOf, clock, log } = options;
   const waiting = new Set<string>();
@@ -39,7 +39,7 @@
       if (await publish(fingerprint, recordOf(fingerprint))) waiting.delete(fingerprint);
       else {
         log.event('quarantine-record-failed', { fingerprint, waiting: waiting.size });
-        await pause.wait(AGAIN_MS);
+        await pause.wait(RETRY_DELAY_MS);
       }
     }
     isWriting = false;
@@ -47,7 +47,7 @@
 
   return {
     write: (fingerprint) => {
-      if (waiting.size >= MOST_WAITING) return;
+      if (waiting.size >= MAX_WAITING) return;
       waiting.add(fingerprint);
       void writeAll();
     },
--- a/packages/gateway/src/quarantine/record.ts
+++ b/packages/gateway/src/quarantine/record.ts
@@ -1,17 +1,17 @@
-/** A request in quarantine as it is kept on the platform, for entries that start or were cut off. */
+/** Records of quarantined requests on the platform, for entries that start or were disconnected. */
 
 import { decodeJson, encodeJson, isNumber, isObject } from '@plantaindrum/common';
 
-/** What is kept under a request's fingerprint. Unix times in milliseconds: the record outlives processes. */
+/** Value stored under a request's fingerprint. Times are Unix times in ms, as the record outlives processes. */
 export interface QuarantineRecord {
   since: number;
   until: number;
 }
 
-/** A record as bytes. */
+/** Encodes a record. */
 export const encodeRecord = (record: QuarantineRecord): Uint8Array => encodeJson(record);
 
-/** Reads a record; undefined when it isn't one. */
+/** Decodes a record; undefined when the bytes aren't one. */
 export const decodeRecord = (bytes: Uint8Array): QuarantineRecord | undefined => {
   const value = decodeJson(bytes);
   if (!isObject(value)) return undefined;
--- a/packages/gateway/src/quarantine/runs-at-upstreams.ts
+++ b/packages/gateway/src/quarantine/runs-at-upstreams.ts
@@ -1,69 +1,72 @@
-/** Which requests were under way at an upstream when its process ended. */
+/** Tracks attempts at upstreams, to find the requests that were in flight when an upstream's process ended. */
 
 import type { Clock } from '@plantaindrum/common';
 import type { Crash } from './crash-evidence.js';
 
-/** One attempt at an upstream, from its sending on. */
-export interface WatchedRun {
-  /** The upstream has answered, or refused without running it: it does not die of this request. */
-  noteSurvived(): void;
-  /** The attempt has ended; where the upstream is not known to have survived, it stays suspect for a while. */
+/** One attempt at an upstream, from the time it is sent. */
+export interface TrackedAttempt {
+  /** Records that the upstream has answered, or refused without running the request: it didn't crash on it. */
+  recordSurvived(): void;
+  /** Ends the attempt; unless the upstream is known to have survived, the attempt is remembered for a while. */
   end(): void;
 }
 
-/** A request that was under way in a crash. */
-export interface CrashedRun {
+/** A request that was in flight in a crash. */
+export interface CrashedAttempt {
   fingerprint: string;
   crash: Crash;
 }
 
 /** Attempts by the upstream that they were sent to. */
-export interface RunsAtUpstreams {
-  begin(fingerprint: string, instance: string): WatchedRun;
-  /** Attempts with a request that are under way here. */
-  underWay(fingerprint: string): number;
-  /** The upstream's process has ended; the requests that were under way there. */
-  noteEnded(instance: string): CrashedRun[];
+export interface UpstreamAttempts {
+  begin(fingerprint: string, instance: string): TrackedAttempt;
+  /** Number of attempts with a request that are in flight at this entry. */
+  countInFlight(fingerprint: string): number;
+  /** Records the end of an upstream's process; returns the requests that were in flight there. */
+  handleUpstreamEnded(instance: string): CrashedAttempt[];
 }
 
 /**
- * An attempt without an answer is suspect for this long after its end, in ms: an upstream that crashed is known to
- * have by a refused connection at once, or by its next start some seconds later.
+ * Time for which an attempt without an answer is remembered after its end, in ms. That the upstream crashed shows at
+ * once from a refused connection, or some seconds later from the upstream's next start.
  */
-const SUSPECT_MS = 12_000;
-/** An upstream's end is told of the attempts that end after it was noticed for this long, in ms. */
-const ENDED_MS = 2_000;
-/** Attempts without an answer that are remembered; the oldest are forgotten first. */
-const MOST_LOST = 1_024;
+const LOST_ATTEMPT_TTL_MS = 12_000;
+/** Time after an upstream's end was noticed in which attempts there that end count as crashed, in ms. */
+const ENDED_UPSTREAM_TTL_MS = 2_000;
+/** Max attempts without an answer that are remembered; the oldest are dropped first. */
+const MAX_LOST = 1_024;
 
-interface Run {
+interface Attempt {
   fingerprint: string;
   instance: string;
   sentAt: number;
   endedAt: number | undefined;
 }
 
-/** Creates the record; `onCrash` is told of attempts that end after their upstream's end was noticed. */
-export const createRunsAtUpstreams = (
+/** Creates the tracker; `onCrash` is called for attempts that end after their upstream's end was noticed. */
+export const createUpstreamAttempts = (
   clock: Clock,
-  onCrash: (run: CrashedRun) => void,
-): RunsAtUpstreams => {
-  const open = new Set<Run>();
-  const lost = new Set<Run>();
-  const ended = new Map<string, number>();
+  onCrash: (crashed: CrashedAttempt) => void,
+): UpstreamAttempts => {
+  const inFlight = new Set<Attempt>();
+  const lost = new Set<Attempt>();
+  const endedUpstreams = new Map<string, number>();
 
-  const forgetOld = (): void => {
+  const dropExpired = (): void => {
     const now = clock.monotonic();
-    lost.forEach((run) => {
-      const isOld = now - (run.endedAt ?? now) > SUSPECT_MS;
-      if (isOld || lost.size > MOST_LOST) lost.delete(run);
+    lost.forEach((attempt) => {
+      const isExpired = now - (attempt.endedAt ?? now) > LOST_ATTEMPT_TTL_MS;
+      if (isExpired || lost.size > MAX_LOST) lost.delete(attempt);
     });
-    ended.forEach((at, instance) => {
-      if (now - at > ENDED_MS) ended.delete(instance);
+    endedUpstreams.forEach((at, instance) => {
+      if (now - at > ENDED_UPSTREAM_TTL_MS) endedUpstreams.delete(instance);
     });
   };
 
-  const toCrash = ({ fingerprint, instance, sentAt, endedAt }: Run, at: number): CrashedRun => ({
+  const toCrash = (
+    { fingerprint, instance, sentAt, endedAt }: Attempt,
+    at: number,
+  ): CrashedAttempt => ({
     fingerprint,
     crash: { instance, sentAt, endedAt: Math.min(endedAt ?? at, at) },
   });
@@ -71,33 +74,34 @@
   return {
     begin: (fingerprint, instance) => {
       const sentAt = clock.monotonic();
-      const run: Run = { fingerprint, instance, sentAt, endedAt: undefined };
-      open.add(run);
+      const attempt: Attempt = { fingerprint, instance, sentAt, endedAt: undefined };
+      inFlight.add(attempt);
       return {
-        noteSurvived: () => {
-          open.delete(run);
+        recordSurvived: () => {
+          inFlight.delete(attempt);
         },
         end: () => {
-          if (!open.delete(run)) return;
-          forgetOld();
-          run.endedAt = clock.monotonic();
-          const endedAt = ended.get(instance);
-          if (endedAt !== undefined && endedAt >= sentAt) onCrash(toCrash(run, endedAt));
-          else lost.add(run);
+          if (!inFlight.delete(attempt)) return;
+          dropExpired();
+          attempt.endedAt = clock.monotonic();
+          const exitedAt = endedUpstreams.get(instance);
+          if (exitedAt !== undefined && exitedAt >= sentAt) onCrash(toCrash(attempt, exitedAt));
+          else lost.add(attempt);
         },
       };
     },
-    underWay: (fingerprint) => [...open].filter((run) => run.fingerprint === fingerprint).length,
-    noteEnded: (instance) => {
-      forgetOld();
+    countInFlight: (fingerprint) =>
+      [...inFlight].filter((attempt) => attempt.fingerprint === fingerprint).length,
+    handleUpstreamEnded: (instance) => {
+      dropExpired();
       const now = clock.monotonic();
-      ended.set(instance, now);
-      const there = [...open, ...lost].filter((run) => run.instance === instance);
-      there.forEach((run) => {
-        open.delete(run);
-        lost.delete(run);
+      endedUpstreams.set(instance, now);
+      const crashed = [...inFlight, ...lost].filter((attempt) => attempt.instance === instance);
+      crashed.forEach((attempt) => {
+        inFlight.delete(attempt);
+        lost.delete(attempt);
       });
-      return there.map((run) => toCrash(run, now));
+      return crashed.map((attempt) => toCrash(attempt, now));
     },
   };
 };
--- a/packages/gateway/src/quarantine/tried-suspects.ts
+++ b/packages/gateway/src/quarantine/tried-suspects.ts
@@ -1,44 +1,45 @@
 import type { Clock } from '@plantaindrum/common';
 
-/** Suspect requests that are being tried at an upstream, here or by another entry. */
-export interface TriedSuspects {
+/** Suspect requests under trial: sent to an upstream by this entry or by a peer, with the outcome unknown yet. */
+export interface SuspectTrials {
   begin(fingerprint: string): void;
   end(fingerprint: string): void;
-  here(): string[];
-  /** A peer names all that it tries now. */
-  notePeer(peer: string, fingerprints: readonly string[]): void;
+  /** Returns the requests under trial at this entry. */
+  localTrials(): string[];
+  /** Replaces the set of requests under trial at a peer. */
+  setPeerTrials(peer: string, fingerprints: readonly string[]): void;
   forgetPeer(peer: string): void;
-  isTriedByPeer(fingerprint: string): boolean;
+  isUnderTrialByPeer(fingerprint: string): boolean;
 }
 
-/** What a peer says holds for so long at the most, in ms: it may be cut off before it tells how its try ended. */
-const TRIED_MS = 3_000;
+/** Time for which a peer's report is valid, in ms: it may be disconnected before it reports the end of its trial. */
+const PEER_TRIAL_TTL_MS = 3_000;
 
-/** Creates the record. */
-export const createTriedSuspects = (clock: Clock): TriedSuspects => {
+/** Creates an empty set of trials. */
+export const createSuspectTrials = (clock: Clock): SuspectTrials => {
   const counts = new Map<string, number>();
   const peers = new Map<string, { fingerprints: readonly string[]; at: number }>();
 
-  const change = (fingerprint: string, by: 1 | -1): void => {
-    const count = (counts.get(fingerprint) ?? 0) + by;
+  const addToCount = (fingerprint: string, difference: 1 | -1): void => {
+    const count = (counts.get(fingerprint) ?? 0) + difference;
     if (count > 0) counts.set(fingerprint, count);
     else counts.delete(fingerprint);
   };
 
   return {
-    begin: (fingerprint) => change(fingerprint, 1),
-    end: (fingerprint) => change(fingerprint, -1),
-    here: () => [...counts.keys()],
-    notePeer: (peer, fingerprints) => {
+    begin: (fingerprint) => addToCount(fingerprint, 1),
+    end: (fingerprint) => addToCount(fingerprint, -1),
+    localTrials: () => [...counts.keys()],
+    setPeerTrials: (peer, fingerprints) => {
       peers.set(peer, { fingerprints, at: clock.monotonic() });
     },
     forgetPeer: (peer) => {
       peers.delete(peer);
     },
-    isTriedByPeer: (fingerprint) =>
+    isUnderTrialByPeer: (fingerprint) =>
       [...peers.values()].some(
         ({ fingerprints, at }) =>
-          clock.monotonic() - at < TRIED_MS && fingerprints.includes(fingerprint),
+          clock.monotonic() - at < PEER_TRIAL_TTL_MS && fingerprints.includes(fingerprint),
       ),
   };
 };
--- a/packages/gateway/src/retry/budget.ts
+++ b/packages/gateway/src/retry/budget.ts
@@ -1,70 +1,73 @@
+/** Limits the retries of each entry, so that all entries together stay within the operators' limits. */
+
 import type { Clock } from '@plantaindrum/common';
 
 /** This entry's share of the retries that all entries together may send to one service. */
 export interface RetryBudget {
-  /** A caller's request for a service came. */
+  /** Records a request from a caller. */
   noteRequest(service: string): void;
-  /** Takes one further attempt from the budget; false when none is left. */
+  /** Takes one retry from the budget; false when it is exhausted. */
   take(service: string): boolean;
 }
 
-/** What the operators allow over all entries. */
+/** Retry limits of the operators, for all entries together. */
 export interface RetryLimits {
-  /** Further attempts for each request, over the window. */
+  /** Retries for each request, over the window. */
   ratio: number;
   windowMs: number;
-  /** Further attempts in a window whatever the traffic. */
+  /** Retries in a window that are allowed in addition, independent of the traffic. */
   allowance: number;
 }
 
 /** Options of `createRetryBudget`. */
 export interface RetryBudgetOptions {
-  /** Asked each time: the operators may change them while the entry runs. */
+  /** Read on each use: operators may change the limits while the entry runs. */
   limits: () => RetryLimits;
-  /** Entries that share the allowance. */
+  /** Number of entries that share the allowance. */
   entries: () => number;
   clock: Clock;
 }
 
-interface Spent {
+interface ServiceUsage {
   requests: number[];
   attempts: number[];
 }
 
 /**
- * Part of the allowed figures that is used. An entry that was killed forgets what it spent, and
- * entries count each other with a delay; what is left free pays for both.
+ * Fraction of the limits that is used. A killed entry forgets the retries it has sent, and entries see changes of
+ * their number with a delay; the unused part makes up for both.
  */
-const USED_SHARE = 0.7;
+const USED_FRACTION = 0.7;
 
 const dropBefore = (times: number[], oldest: number): void => {
-  const keep = times.findIndex((at) => at >= oldest);
-  times.splice(0, keep === -1 ? times.length : keep);
+  const firstKept = times.findIndex((at) => at >= oldest);
+  times.splice(0, firstKept === -1 ? times.length : firstKept);
 };
 
-/** Creates the budget; it needs no message, as each entry keeps to its share. */
+/** Creates the budget. It needs no messages between entries, as each keeps to its own share. */
 export const createRetryBudget = (options: RetryBudgetOptions): RetryBudget => {
   const { limits, entries, clock } = options;
-  const services = new Map<string, Spent>();
+  const services = new Map<string, ServiceUsage>();
 
-  const spentOn = (service: string): Spent => {
-    const spent = services.get(service) ?? { requests: [], attempts: [] };
-    services.set(service, spent);
+  const usageOf = (service: string): ServiceUsage => {
+    const usage = services.get(service) ?? { requests: [], attempts: [] };
+    services.set(service, usage);
     const oldest = clock.monotonic() - limits().windowMs;
-    dropBefore(spent.requests, oldest);
-    dropBefore(spent.attempts, oldest);
-    return spent;
+    dropBefore(usage.requests, oldest);
+    dropBefore(usage.attempts, oldest);
+    return usage;
   };
 
   return {
     noteRequest: (service) => {
-      spentOn(service).requests.push(clock.monotonic());
+      usageOf(service).requests.push(clock.monotonic());
     },
     take: (service) => {
-      const { requests, attempts } = spentOn(service);
+      const { requests, attempts } = usageOf(service);
       const { ratio, allowance } = limits();
-      const most = USED_SHARE * (ratio * requests.length + allowance / Math.max(1, entries()));
-      if (attempts.length + 1 > most) return false;
+      const maxAttempts =
+        USED_FRACTION * (ratio * requests.length + allowance / Math.max(1, entries()));
+      if (attempts.length + 1 > maxAttempts) return false;
       attempts.push(clock.monotonic());
       return true;
     },
--- a/packages/gateway/test/limits.test.ts
+++ b/packages/gateway/test/limits.test.ts
@@ -2,7 +2,7 @@
 import { createManualClock, silentEventLog } from '@plantaindrum/common';
 import { createAdmission } from '../src/admission/admission.js';
 import type { AdmissionRequest } from '../src/admission/admission.js';
-import { createLinkedShare } from '../src/mesh/linked-share.js';
+import { createConnectedEntries } from '../src/mesh/linked-share.js';
 import { createRetryBudget } from '../src/retry/budget.js';
 import type { UpstreamRecord } from '../src/index.js';
 import { createUpstream } from '../src/upstreams/upstream.js';
@@ -51,13 +51,13 @@
   // both reach the same upstreams.
   it('keeps the share of entries behind a partition free', async () => {
     const clock = createManualClock();
-    const linked = createLinkedShare(clock);
-    ['b', 'c', 'd'].forEach(linked.noteLinked);
-    ['c', 'd'].forEach(linked.noteLost);
+    const linked = createConnectedEntries(clock);
+    ['b', 'c', 'd'].forEach(linked.recordLinked);
+    ['c', 'd'].forEach(linked.recordLost);
     const limits = { ratio: 0.2, windowMs: 10_000, allowance: 80 };
     const { entries } = linked;
     expect(takeAll(createRetryBudget({ limits: () => limits, entries, clock }))).to.equal(14);
-    linked.noteLinked('c');
+    linked.recordLinked('c');
     await clock.advance(60_001);
     expect(takeAll(createRetryBudget({ limits: () => limits, entries, clock }))).to.equal(18);
   });
--- a/packages/gateway/test/load-share.test.ts
+++ b/packages/gateway/test/load-share.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import { createManualClock } from '@plantaindrum/common';
-import { createLoadTeller, readShare } from '../src/mesh/load-share.js';
+import { createLoadTeller, readLoadUpdate } from '../src/mesh/load-share.js';
 import type { LoadShare } from '../src/mesh/load-share.js';
 
 describe('telling peers of the load', () => {
@@ -26,9 +26,9 @@
   });
 
   it('reads no share from anything else', () => {
-    expect(readShare({ isWhole: true, counts: { a: 1 } })).to.not.equal(undefined);
+    expect(readLoadUpdate({ isWhole: true, counts: { a: 1 } })).to.not.equal(undefined);
     [undefined, 4, {}, { counts: {} }, { isWhole: false, counts: { a: 'x' } }].forEach((value) => {
-      expect(readShare(value)).to.equal(undefined);
+      expect(readLoadUpdate(value)).to.equal(undefined);
     });
   });
 });
--- a/packages/gateway/test/quarantine.test.ts
+++ b/packages/gateway/test/quarantine.test.ts
@@ -4,7 +4,7 @@
   createCrashEvidence,
   createQuarantine,
   fingerprintOf,
-  roundsOf,
+  countSuccessiveCrashes,
 } from '../src/quarantine/index.js';
 import type { CrashEvidence, RequestQuarantine } from '../src/quarantine/index.js';
 import type { News } from '../src/quarantine/news.js';
@@ -17,7 +17,7 @@
   const evidence = createCrashEvidence(clock);
   /** The request is sent, and the upstream ends this long afterwards. */
   const crash = (evidenceOf: CrashEvidence, of: string, instance: string, sentAt: number) =>
-    evidenceOf.noteCrash(of, { instance, sentAt, endedAt: sentAt + 50 });
+    evidenceOf.recordCrash(of, { instance, sentAt, endedAt: sentAt + 50 });
   return { clock, evidence, crash };
 };
 
@@ -50,7 +50,7 @@
   // again. It ran well all day: nobody is refused for it.
   it('does not take a popular request for harmful when many upstreams end at once', async () => {
     const { clock, evidence, crash } = startEvidence();
-    evidence.noteSound(HARMFUL, clock.monotonic());
+    evidence.recordSuccess(HARMFUL, clock.monotonic());
     for (let round = 0; round < 2; round += 1) {
       await clock.advance(1_000);
       for (let at = 0; at < 10; at += 1) {
@@ -60,8 +60,8 @@
     expect(evidence.verdict(HARMFUL)).to.equal('clear');
     // Not even held to one attempt at a time, which would refuse two fifths of its class.
     await clock.advance(1_000);
-    evidence.noteSound(HARMFUL, clock.monotonic());
-    expect(evidence.caseOf(HARMFUL)).to.equal(undefined);
+    evidence.recordSuccess(HARMFUL, clock.monotonic());
+    expect(evidence.suspectRecord(HARMFUL)).to.equal(undefined);
   });
 
   // One caller's request is under way at an upstream that crashes, twice, by bad luck. The third time it runs well.
@@ -71,16 +71,16 @@
     await clock.advance(500);
     crash(evidence, HARMFUL, 'b', clock.monotonic());
     await clock.advance(500);
-    evidence.noteSound(HARMFUL, clock.monotonic());
+    evidence.recordSuccess(HARMFUL, clock.monotonic());
     expect(evidence.verdict(HARMFUL)).to.equal('clear');
     // News of the older crashes that come late change nothing.
-    expect(crash(evidence, HARMFUL, 'c', clock.monotonic() - 600).isNews).to.equal(false);
+    expect(crash(evidence, HARMFUL, 'c', clock.monotonic() - 600).isNew).to.equal(false);
   });
 
   // A quarantine ends by age. If the request still crashes what runs it, one crash is enough for the next one.
   it('begins again with one crash after a quarantine has run out', async () => {
     const { clock, evidence, crash } = startEvidence();
-    evidence.noteQuarantine(HARMFUL, clock.monotonic(), clock.monotonic() + 60_000);
+    evidence.recordQuarantine(HARMFUL, clock.monotonic(), clock.monotonic() + 60_000);
     expect(evidence.verdict(HARMFUL)).to.equal('quarantined');
     await clock.advance(60_001);
     expect(evidence.verdict(HARMFUL)).to.equal('suspect');
@@ -91,9 +91,9 @@
   it('keeps a bounded number of cases and forgets old crashes', async () => {
     const { clock, evidence, crash } = startEvidence();
     for (let n = 0; n < 3_000; n += 1) crash(evidence, fingerprint(n), 'a', clock.monotonic());
-    expect(evidence.all()).to.have.lengthOf(1_024);
+    expect(evidence.fingerprints()).to.have.lengthOf(1_024);
     await clock.advance(600_100);
-    expect(evidence.all()).to.have.lengthOf(0);
+    expect(evidence.fingerprints()).to.have.lengthOf(0);
   });
 
   it('counts sends one after the other, whatever order they are heard of in', () => {
@@ -103,8 +103,8 @@
       { instance: 'b', sentAt: 10, endedAt: 100 },
       { instance: 'd', sentAt: 95, endedAt: 120 },
     ];
-    expect(roundsOf(crashes)).to.equal(3);
-    expect(roundsOf([])).to.equal(0);
+    expect(countSuccessiveCrashes(crashes)).to.equal(3);
+    expect(countSuccessiveCrashes([])).to.equal(0);
   });
 
   it('tells requests apart by method, path, organisation and body, and by nothing else', () => {
--- a/packages/gateway/test/rate-limit.test.ts
+++ b/packages/gateway/test/rate-limit.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import { createManualClock, createMetrics, silentEventLog } from '@plantaindrum/common';
-import { createLinkedShare } from '../src/mesh/linked-share.js';
-import { readRateNews } from '../src/mesh/rate-news.js';
+import { createConnectedEntries } from '../src/mesh/linked-share.js';
+import { readRateLimitUpdate } from '../src/mesh/rate-news.js';
 import type { RateNews } from '../src/mesh/rate-news.js';
 import { createRateLimit } from '../src/upstreams/rate-limit.js';
 import { createRateLimits } from '../src/upstreams/rate-limits.js';
@@ -61,17 +61,17 @@
   // A partition leaves two halves of the entries that hear nothing of each other; each would take the whole limit.
   it('is drawn from by the part of the entries that hear of each other', async () => {
     const clock = createManualClock();
-    const share = createLinkedShare(clock);
-    ['b', 'c', 'd'].forEach(share.noteLinked);
-    expect(share.share()).to.equal(1);
-    const limit = createRateLimit(clock, share.share);
+    const share = createConnectedEntries(clock);
+    ['b', 'c', 'd'].forEach(share.recordLinked);
+    expect(share.connectedFraction()).to.equal(1);
+    const limit = createRateLimit(clock, share.connectedFraction);
     limit.set(1);
-    ['c', 'd'].forEach(share.noteLost);
+    ['c', 'd'].forEach(share.recordLost);
     expect(limit.waitMs()).to.equal(2_000);
-    share.noteLinked('c');
-    expect(share.share()).to.equal(0.75);
+    share.recordLinked('c');
+    expect(share.connectedFraction()).to.equal(0.75);
     await clock.advance(60_001);
-    expect(share.share()).to.equal(1);
+    expect(share.connectedFraction()).to.equal(1);
   });
 });
 
@@ -133,13 +133,13 @@
   it('are read from sound notes only', () => {
     const limit = { instance: 'i', startedAt: 0, perSecond: 1.5 };
     const sent = { instance: 'i', startedAt: 0, requests: 1 };
-    expect(readRateNews({ limits: [limit], sent: [sent] })).to.not.equal(undefined);
+    expect(readRateLimitUpdate({ limits: [limit], sent: [sent] })).to.not.equal(undefined);
     [
       ...[undefined, 1, {}, { limits: [] }, { limits: [limit], sent: [{ ...sent, requests: -1 }] }],
       { limits: [{ ...limit, perSecond: 'x' }], sent: [] },
       { limits: [{ ...limit, perSecond: NaN }], sent: [] },
       { limits: new Array(5_000).fill(limit), sent: [] },
-    ].forEach((value) => expect(readRateNews(value)).to.equal(undefined));
+    ].forEach((value) => expect(readRateLimitUpdate(value)).to.equal(undefined));
   });
 });
 
