--- a/packages/gateway/test/limits.test.ts
+++ b/packages/gateway/test/limits.test.ts
@@ -35,41 +35,41 @@
     return { clock, limits, budget: createRetryBudget(options) };
   };
   const takeAll = (budget: { take(service: string): boolean }): number => {
-    let taken = 0;
-    while (budget.take('s')) taken += 1;
-    return taken;
+    let count = 0;
+    while (budget.take('s')) count += 1;
+    return count;
   };
 
-  // Retries over the operators' bound would break a promise on every entry together, so each keeps
-  // to its share, below it by what a killed entry may have forgotten.
-  it('gives each entry its share', () => {
+  // The operators' limit holds for all entries together, so each entry may use only its share. A part of that
+  // stays unused to make up for the retries that a killed entry has forgotten.
+  it('limits each entry to its share of the allowance', () => {
     expect(takeAll(create(1).budget)).to.equal(56);
     expect(takeAll(create(4).budget)).to.equal(14);
   });
 
-  // A partition leaves two pairs of four entries. Each pair would give itself the whole allowance, and the retries of
-  // both reach the same upstreams.
-  it('keeps the share of entries behind a partition free', async () => {
+  // A partition splits four entries into two pairs. If each pair used the full allowance, the retries of both would
+  // exceed it at the upstreams that they share.
+  it('leaves the share of entries behind a partition unused', async () => {
     const clock = createManualClock();
-    const linked = createConnectedEntries(clock);
-    ['b', 'c', 'd'].forEach(linked.recordLinked);
-    ['c', 'd'].forEach(linked.recordLost);
+    const connected = createConnectedEntries(clock);
+    ['b', 'c', 'd'].forEach(connected.recordLinked);
+    ['c', 'd'].forEach(connected.recordLost);
     const limits = { ratio: 0.2, windowMs: 10_000, allowance: 80 };
-    const { entries } = linked;
+    const { entries } = connected;
     expect(takeAll(createRetryBudget({ limits: () => limits, entries, clock }))).to.equal(14);
-    linked.recordLinked('c');
+    connected.recordLinked('c');
     await clock.advance(60_001);
     expect(takeAll(createRetryBudget({ limits: () => limits, entries, clock }))).to.equal(18);
   });
 
-  it('takes over what the operators change', () => {
+  it('applies changed limits at once', () => {
     const { limits, budget } = create(1);
     expect(takeAll(budget)).to.equal(56);
     limits.allowance = 100;
     expect(takeAll(budget)).to.equal(14);
   });
 
-  it('grows with requests and comes back with time', async () => {
+  it('grows with the number of requests and recovers after the window', async () => {
     const { clock, budget } = create(4);
     for (let n = 0; n < 100; n += 1) budget.noteRequest('s');
     expect(takeAll(budget)).to.equal(28);
@@ -86,7 +86,7 @@
     return { clock, upstream, admission: createAdmission(clock, silentEventLog) };
   };
 
-  it('admits as many as there are slots while pauses are short', () => {
+  it('admits as many streams as there are slots while pauses are short', () => {
     const { upstream, admission } = create();
     let admitted = 0;
     while (admitted < 50 && admission.decide(streamRequest, [upstream]).admitted) {
@@ -96,26 +96,26 @@
     expect(admitted).to.equal(10);
   });
 
-  // All streams would be late together. Pauses grow over the target; the limit follows them down,
-  // and up again when they are short.
-  it('cuts the limit when pauses are long and lets it grow again', async () => {
+  // Pauses above the target make all streams of a group late. Guards that the limit is lowered then, and raised
+  // again once pauses are short.
+  it('lowers the limit when pauses are long and raises it again', async () => {
     const { clock, upstream, admission } = create();
     for (let n = 0; n < 9; n += 1) upstream.begin();
     admission.decide(streamRequest, [upstream]);
     await clock.advance(200);
     for (let n = 0; n < 10; n += 1) admission.pace('s').notePause(300);
-    const cut = admission.decide(streamRequest, [upstream]);
-    expect(cut).to.deep.equal({ admitted: false, reason: 'pace-too-slow' });
-    const low = admission.limit('s') ?? 0;
+    const decision = admission.decide(streamRequest, [upstream]);
+    expect(decision).to.deep.equal({ admitted: false, reason: 'pace-too-slow' });
+    const lowered = admission.limit('s') ?? 0;
     await clock.advance(1_000);
     for (let n = 0; n < 10; n += 1) admission.pace('s').notePause(40);
     admission.decide(streamRequest, [upstream]);
-    expect(admission.limit('s')).to.be.above(low);
+    expect(admission.limit('s')).to.be.above(lowered);
   });
 
-  // Passes lie twice over the target because the map is uneven or a rank is slow: even a quarter of the
-  // streams would see long pauses. Refusing the next caller helps nobody who is in flight.
-  it('refuses nobody where the number of streams is not the cause', async () => {
+  // Passes take several times the target because the expert map is uneven or a rank is slow: even a quarter of the
+  // streams would see long pauses. Refusing further callers would not help the streams in flight.
+  it('refuses no stream when the number of streams is not the cause of long pauses', async () => {
     const { clock, upstream, admission } = create();
     const request = { ...streamRequest, passTimes: { stepMs: 4, perStreamMs: 0.1 } };
     for (let n = 0; n < 8; n += 1) upstream.begin();
@@ -127,18 +127,18 @@
     }
   });
 
-  // An upstream resets connections beyond its limit, and a request on one of them is lost.
-  it('keeps to the connections that an upstream accepts from all entries', () => {
+  // An upstream resets connections beyond its limit, and the requests on them are lost.
+  it('keeps within the connections that an upstream accepts from all entries', () => {
     const { upstream, admission } = create();
     const request = { ...streamRequest, targetPauseMs: undefined, maxConnections: 3 };
     upstream.notePeer('other', 2);
     expect(admission.decide(request, [upstream]).admitted).to.equal(true);
     upstream.begin();
-    const full = admission.decide(request, [upstream]);
-    expect(full).to.deep.equal({ admitted: false, reason: 'upstreams-full' });
+    const decision = admission.decide(request, [upstream]);
+    expect(decision).to.deep.equal({ admitted: false, reason: 'upstreams-full' });
   });
 
-  it('counts what other entries have at an upstream', () => {
+  it('counts the requests of other entries at an upstream', () => {
     const { upstream, admission } = create();
     upstream.notePeer('other', 10);
     expect(admission.decide(streamRequest, [upstream]).admitted).to.equal(false);
@@ -148,9 +148,9 @@
 });
 
 describe('health of an upstream', () => {
-  // One lost connection is enough to try others first; three failures in a row as well, and a sound
-  // answer now and then keeps a grey upstream from being chosen as if it were well.
-  it('is suspect when it can not be reached, for longer each time', async () => {
+  // One lost connection makes an upstream suspect, so that others are chosen first. The time for which it stays
+  // suspect doubles with each further failure.
+  it('is suspect when it cannot be reached, for longer each time', async () => {
     const clock = createManualClock();
     const upstream = createUpstream(record, clock);
     upstream.noteFailure('unreachable');
@@ -162,21 +162,23 @@
     expect(upstream.isSuspect()).to.equal(true);
   });
 
-  // A slow rank holds up its whole group, so it gets fewer requests while its agent says that it is
-  // slow, and as many as the others when that has not been said for some seconds.
-  it('costs more while its agent says that it is slow', async () => {
+  // A slow rank delays its whole group. It gets fewer requests while its agent reports a slowdown, and its usual share
+  // once the report is some seconds old.
+  it('has a higher load score while its agent reports a slowdown', async () => {
     const clock = createManualClock();
     const upstream = createUpstream(record, clock);
-    const usual = upstream.costOfNext();
+    const baseline = upstream.costOfNext();
     upstream.notePace(4);
-    expect(upstream.costOfNext()).to.equal(4 * usual);
+    expect(upstream.costOfNext()).to.equal(4 * baseline);
     await clock.advance(2_499);
-    expect(upstream.costOfNext()).to.equal(4 * usual);
+    expect(upstream.costOfNext()).to.equal(4 * baseline);
     await clock.advance(2);
-    expect(upstream.costOfNext()).to.equal(usual);
+    expect(upstream.costOfNext()).to.equal(baseline);
   });
 
-  it('is suspect after some failures and not after one', () => {
+  // Three failures in a row make an upstream suspect as well. The failure share is averaged over several attempts, so
+  // that an occasional success doesn't make a failing upstream look healthy.
+  it('is suspect after several failures but not after one', () => {
     const upstream = createUpstream(record, createManualClock());
     upstream.noteFailure('failed');
     expect(upstream.isSuspect()).to.equal(false);
--- a/packages/gateway/test/load-share.test.ts
+++ b/packages/gateway/test/load-share.test.ts
@@ -3,14 +3,14 @@
 import { createLoadTeller, readLoadUpdate } from '../src/mesh/load-share.js';
 import type { LoadShare } from '../src/mesh/load-share.js';
 
-describe('telling peers of the load', () => {
-  it('tells what changed, and the whole now and then', async () => {
+describe('load updates between entries', () => {
+  it('broadcasts changes, and a full update at longer intervals', async () => {
     const clock = createManualClock();
     const counts = new Map([['a', 1]]);
-    const told: LoadShare[] = [];
-    const teller = createLoadTeller({
+    const updates: LoadShare[] = [];
+    const broadcaster = createLoadTeller({
       counts: () => new Map(counts),
-      tell: (share) => told.push(share),
+      tell: (update) => updates.push(update),
       clock,
     });
     counts.set('b', 2);
@@ -18,14 +18,14 @@
     counts.delete('a');
     await clock.advance(60);
     await clock.advance(4_000);
-    expect(told).toMatchSnapshot();
+    expect(updates).toMatchSnapshot();
     await clock.advance(1_200);
-    expect(told.at(-1)).to.deep.equal({ isWhole: true, counts: { b: 2 } });
-    expect(teller.whole()).to.deep.equal({ isWhole: true, counts: { b: 2 } });
-    teller.close();
+    expect(updates.at(-1)).to.deep.equal({ isWhole: true, counts: { b: 2 } });
+    expect(broadcaster.whole()).to.deep.equal({ isWhole: true, counts: { b: 2 } });
+    broadcaster.close();
   });
 
-  it('reads no share from anything else', () => {
+  it('rejects values that are not load updates', () => {
     expect(readLoadUpdate({ isWhole: true, counts: { a: 1 } })).to.not.equal(undefined);
     [undefined, 4, {}, { counts: {} }, { isWhole: false, counts: { a: 'x' } }].forEach((value) => {
       expect(readLoadUpdate(value)).to.equal(undefined);
--- a/packages/gateway/test/quarantine-serving.test.ts
+++ b/packages/gateway/test/quarantine-serving.test.ts
@@ -4,7 +4,7 @@
 import { startEntry } from './support/entry.js';
 import { stream, wait } from './support/with-entry.js';
 
-/** Ends the upstream's process as far as callers can tell: connections are reset, and refused from then on. */
+/** Simulates the crash of an upstream's process: its connections are reset, and refused from then on. */
 const crashOn = (isHarmful: (body: string) => boolean, upstreams: () => FakeUpstream[]): Act => {
   const act: Act = (req, res) => {
     if (!isHarmful(req.body)) {
@@ -20,9 +20,9 @@
 };
 
 describe('serving requests that crash upstreams', () => {
-  // One request ends each upstream that runs it, and its caller sends it again and again. Six upstreams are
-  // there; without a safeguard it ends them all. The others' requests go on.
-  it('stops a request after three crashes, and answers its caller at once', async () => {
+  // A request crashes each upstream that runs it, and its caller keeps sending it. Without a quarantine it would
+  // crash all six upstreams. Other requests are still served.
+  it('quarantines a request after three crashes, and refuses it at once', async () => {
     const upstreams: FakeUpstream[] = [];
     const act = crashOn(
       (body) => body === 'harmful',
@@ -38,9 +38,9 @@
         answers.push(answer.status);
         await wait(250);
       }
-      const ran = upstreams.filter(({ seen }) => seen.some(({ body }) => body === 'harmful'));
-      expect(ran).to.have.lengthOf(3);
-      // The last ones have not run: the status says so, and when to come back.
+      const crashed = upstreams.filter(({ seen }) => seen.some(({ body }) => body === 'harmful'));
+      expect(crashed).to.have.lengthOf(3);
+      // The last requests have not run: the status says so, and `retry-after` says when to retry.
       expect(answers.slice(-3)).to.deep.equal([503, 503, 503]);
       const last = await entry.ask({ 'x-id': 'q9' }, '/p/x', 'harmful');
       expect(last.body).to.equal('quarantined\n');
--- a/packages/gateway/test/quarantine.test.ts
+++ b/packages/gateway/test/quarantine.test.ts
@@ -15,16 +15,16 @@
 const startEvidence = () => {
   const clock = createManualClock(1_000_000);
   const evidence = createCrashEvidence(clock);
-  /** The request is sent, and the upstream ends this long afterwards. */
-  const crash = (evidenceOf: CrashEvidence, of: string, instance: string, sentAt: number) =>
-    evidenceOf.recordCrash(of, { instance, sentAt, endedAt: sentAt + 50 });
+  /** Records that a request was sent to an upstream, which ended 50 ms later. */
+  const crash = (target: CrashEvidence, request: string, instance: string, sentAt: number) =>
+    target.recordCrash(request, { instance, sentAt, endedAt: sentAt + 50 });
   return { clock, evidence, crash };
 };
 
 describe('evidence of requests that crash upstreams', () => {
-  // A request ends its upstream; it comes again, and ends the next; and again. From the third crash on it is
-  // not sent any more: each crash stops a group of 63 ranks for seconds.
-  it('puts a request into quarantine that crashed three upstreams one after the other', async () => {
+  // A request crashes its upstream and is sent again, crashing the next one, and again. After the third crash it is no
+  // longer sent: each crash stops a group of 63 ranks for seconds.
+  it('quarantines a request that crashed three upstreams one after the other', async () => {
     const { clock, evidence, crash } = startEvidence();
     expect(evidence.verdict(HARMFUL)).to.equal('clear');
     for (const instance of ['a', 'b', 'c']) {
@@ -34,9 +34,9 @@
     expect(evidence.verdict(HARMFUL)).to.equal('quarantined');
   });
 
-  // The same, sent by three callers at once before anybody knew: three upstreams end together. That alone
-  // looks as upstreams that lose power do; the next send that ends one more tells.
-  it('needs a second round where the crashes came together', async () => {
+  // Three callers send a harmful request at the same time, and three upstreams end together. That looks like a
+  // power loss; only a further crash after the request was sent again proves that it is harmful.
+  it('requires a later crash when the first ones came together', async () => {
     const { clock, evidence, crash } = startEvidence();
     const at = clock.monotonic();
     ['a', 'b', 'c'].forEach((instance) => crash(evidence, HARMFUL, instance, at));
@@ -46,26 +46,26 @@
     expect(evidence.verdict(HARMFUL)).to.equal('quarantined');
   });
 
-  // A popular request runs at ten upstreams that lose power at once, and a moment later at ten that lose it
-  // again. It ran well all day: nobody is refused for it.
-  it('does not take a popular request for harmful when many upstreams end at once', async () => {
+  // A popular request is in flight at ten upstreams that lose power together, and at ten others a second later. As it
+  // has succeeded before, it must not be refused.
+  it('does not quarantine a popular request when many upstreams end together', async () => {
     const { clock, evidence, crash } = startEvidence();
     evidence.recordSuccess(HARMFUL, clock.monotonic());
-    for (let round = 0; round < 2; round += 1) {
+    for (let loss = 0; loss < 2; loss += 1) {
       await clock.advance(1_000);
       for (let at = 0; at < 10; at += 1) {
-        crash(evidence, HARMFUL, `i-${round}-${at}`, clock.monotonic());
+        crash(evidence, HARMFUL, `i-${loss}-${at}`, clock.monotonic());
       }
     }
     expect(evidence.verdict(HARMFUL)).to.equal('clear');
-    // Not even held to one attempt at a time, which would refuse two fifths of its class.
+    // It isn't limited to one attempt at a time either, which would refuse two fifths of such requests.
     await clock.advance(1_000);
     evidence.recordSuccess(HARMFUL, clock.monotonic());
     expect(evidence.suspectRecord(HARMFUL)).to.equal(undefined);
   });
 
-  // One caller's request is under way at an upstream that crashes, twice, by bad luck. The third time it runs well.
-  it('clears a request that runs well', async () => {
+  // A harmless request is in flight in two crashes by chance, and succeeds at its third attempt.
+  it('clears a request that succeeds', async () => {
     const { clock, evidence, crash } = startEvidence();
     crash(evidence, HARMFUL, 'a', clock.monotonic());
     await clock.advance(500);
@@ -73,12 +73,12 @@
     await clock.advance(500);
     evidence.recordSuccess(HARMFUL, clock.monotonic());
     expect(evidence.verdict(HARMFUL)).to.equal('clear');
-    // News of the older crashes that come late change nothing.
+    // A late report of a crash before the success changes nothing.
     expect(crash(evidence, HARMFUL, 'c', clock.monotonic() - 600).isNew).to.equal(false);
   });
 
-  // A quarantine ends by age. If the request still crashes what runs it, one crash is enough for the next one.
-  it('begins again with one crash after a quarantine has run out', async () => {
+  // A quarantine expires. If the request still crashes upstreams, a single crash starts the next quarantine.
+  it('quarantines a request again after a single crash when its quarantine has expired', async () => {
     const { clock, evidence, crash } = startEvidence();
     evidence.recordQuarantine(HARMFUL, clock.monotonic(), clock.monotonic() + 60_000);
     expect(evidence.verdict(HARMFUL)).to.equal('quarantined');
@@ -88,7 +88,7 @@
     expect(evidence.verdict(HARMFUL)).to.equal('quarantined');
   });
 
-  it('keeps a bounded number of cases and forgets old crashes', async () => {
+  it('keeps a bounded number of suspects and drops old crashes', async () => {
     const { clock, evidence, crash } = startEvidence();
     for (let n = 0; n < 3_000; n += 1) crash(evidence, fingerprint(n), 'a', clock.monotonic());
     expect(evidence.fingerprints()).to.have.lengthOf(1_024);
@@ -96,7 +96,7 @@
     expect(evidence.fingerprints()).to.have.lengthOf(0);
   });
 
-  it('counts sends one after the other, whatever order they are heard of in', () => {
+  it('counts successive crashes, in whatever order they are reported', () => {
     const crashes = [
       { instance: 'c', sentAt: 300, endedAt: 320 },
       { instance: 'a', sentAt: 0, endedAt: 90 },
@@ -107,7 +107,7 @@
     expect(countSuccessiveCrashes([])).to.equal(0);
   });
 
-  it('tells requests apart by method, path, organisation and body, and by nothing else', () => {
+  it('computes fingerprints from method, path, organisation and body only', () => {
     const base = { method: 'POST', path: '/p/1', organisation: 'o', body: Buffer.from('b') };
     const others = [
       { method: 'PUT' },
@@ -123,17 +123,17 @@
 
 interface Node {
   quarantine: RequestQuarantine;
-  news: News[];
+  updates: News[];
   records: Map<string, Uint8Array | undefined>;
 }
 
 const clockForNodes = () => createManualClock(5_000_000);
 
 const startNode = (clock = clockForNodes(), canPublish = () => true): Node => {
-  const news: News[] = [];
+  const updates: News[] = [];
   const records = new Map<string, Uint8Array | undefined>();
   const quarantine = createQuarantine({
-    tell: (told) => news.push(told),
+    tell: (update) => updates.push(update),
     publish: async (key, value) => {
       if (!canPublish()) return false;
       records.set(key, value);
@@ -143,22 +143,22 @@
     metrics: createMetrics(),
     log: silentEventLog,
   });
-  return { quarantine, news, records };
+  return { quarantine, updates, records };
 };
 
 const start = (instance: string) => ({ instance, startedAt: 0 });
 
-/** The request is sent to an upstream, whose connections are refused a moment later. */
+/** Sends the request to an upstream, whose connections are refused shortly afterwards. */
 const crashAt = async (node: Node, clock: ReturnType<typeof clockForNodes>, instance: string) => {
-  const run = node.quarantine.begin(HARMFUL, start(instance));
+  const attempt = node.quarantine.begin(HARMFUL, start(instance));
   await clock.advance(20);
-  run.end();
+  attempt.end();
   await clock.advance(80);
   node.quarantine.noteEnded(start(instance), 'refused-connection');
   await clock.advance(100);
 };
 
-/** The request crashes three upstreams, and the node sees its record written and dropped again; the record. */
+/** Crashes three upstreams, then lets the node see its record written and deleted again; returns the record. */
 const recordAndDrop = async (node: Node, clock: ReturnType<typeof clockForNodes>) => {
   for (const instance of ['a', 'b', 'c']) await crashAt(node, clock, instance);
   const value = node.records.get(HARMFUL);
@@ -168,19 +168,20 @@
 };
 
 describe('the quarantine of one entry', () => {
-  // A reset alone proves nothing: upstreams reset connections beyond their limit and break off answers.
-  it('does not count a lost attempt whose upstream lives', async () => {
+  // A reset connection alone doesn't prove a crash: upstreams also reset connections beyond their limit, and break off
+  // answers.
+  it('does not count a lost attempt whose upstream is alive', async () => {
     const clock = clockForNodes();
     const node = startNode(clock);
     for (let n = 0; n < 5; n += 1) node.quarantine.begin(HARMFUL, start(`i${n}`)).end();
     await clock.advance(1_000);
     expect(node.quarantine.refusal(HARMFUL)).to.equal(undefined);
-    expect(node.news).to.deep.equal([]);
+    expect(node.updates).to.deep.equal([]);
   });
 
-  // The upstream is found to have ended only when it is listed again some seconds later; or first, while
-  // the attempt there is still open.
-  it('counts an attempt that was lost before its upstream is known to have ended, or after', async () => {
+  // The end of an upstream may be noticed some seconds after the attempt was lost, when the upstream is listed again,
+  // or while the attempt is still in flight.
+  it('counts an attempt that was lost before or after the end of its upstream was noticed', async () => {
     const clock = clockForNodes();
     const node = startNode(clock);
     node.quarantine.begin(HARMFUL, start('a')).end();
@@ -191,73 +192,78 @@
     open.end();
     await clock.advance(50);
     expect(
-      node.news.flatMap(({ crashes }) => crashes.map(({ instance }) => instance)),
+      node.updates.flatMap(({ crashes }) => crashes.map(({ instance }) => instance)),
     ).to.deep.equal(['a@0', 'b@0']);
   });
 
-  // An upstream that dies of its first token may still have sent an event; one that goes on does not die of it.
-  it('takes a stream for sound only when its events go on', async () => {
+  // An upstream that crashes on its first token may still have sent an event. Only one that keeps sending events
+  // doesn't crash on the request.
+  it('counts a stream as a success only when its events continue', async () => {
     const clock = clockForNodes();
     const node = startNode(clock);
-    const short = node.quarantine.begin(HARMFUL, start('a'));
-    short.noteEvent();
+    const shortStream = node.quarantine.begin(HARMFUL, start('a'));
+    shortStream.noteEvent();
     await clock.advance(30);
-    short.end();
+    shortStream.end();
     node.quarantine.noteEnded(start('a'), 'refused-connection');
-    const sound = node.quarantine.begin(fingerprint(2), start('b'));
-    sound.noteEvent();
+    const longStream = node.quarantine.begin(fingerprint(2), start('b'));
+    longStream.noteEvent();
     await clock.advance(600);
-    sound.noteEvent();
-    sound.end();
+    longStream.noteEvent();
+    longStream.end();
     node.quarantine.noteEnded(start('b'), 'refused-connection');
     await clock.advance(50);
-    const told = node.news.flatMap(({ crashes }) => crashes.map((crash) => crash.fingerprint));
-    expect(told).to.deep.equal([HARMFUL]);
+    const reported = node.updates.flatMap(({ crashes }) =>
+      crashes.map((crash) => crash.fingerprint),
+    );
+    expect(reported).to.deep.equal([HARMFUL]);
   });
 
-  // All ranks lose power with 300 requests under way, each its caller's own. All come back, and are served.
-  it('refuses none of those that were under way when all upstreams ended', async () => {
+  // All ranks lose power while 300 different requests are in flight. Each is sent again and must be served.
+  it('refuses no request that was in flight when all upstreams ended together', async () => {
     const clock = clockForNodes();
     const node = startNode(clock);
-    const runs = Array.from({ length: 300 }, (_, n) =>
+    const attempts = Array.from({ length: 300 }, (_, n) =>
       node.quarantine.begin(fingerprint(n), start(`i${n % 60}`)),
     );
     for (let n = 0; n < 60; n += 1) node.quarantine.noteEnded(start(`i${n}`), 'refused-connection');
-    runs.forEach((run) => run.end());
+    attempts.forEach((attempt) => attempt.end());
     await clock.advance(1_000);
-    const refused = runs.filter((_, n) => node.quarantine.refusal(fingerprint(n)) !== undefined);
+    const refused = attempts.filter(
+      (_, n) => node.quarantine.refusal(fingerprint(n)) !== undefined,
+    );
     expect(refused).to.have.lengthOf(0);
   });
 
-  // A request that may be harmful comes from several callers at once: each send may stop a whole group.
-  it('tries a suspect at one upstream at a time, here and at other entries', async () => {
+  // Several callers send a suspect request at the same time, and each attempt may stop a whole group.
+  it('sends a suspect request to one upstream at a time, across all entries', async () => {
     const clock = clockForNodes();
-    const [here, there] = [startNode(clock), startNode(clock)];
-    await crashAt(here, clock, 'a');
-    await crashAt(here, clock, 'b');
-    here.news.forEach((told) => there.quarantine.takeNews('here', told));
-    const run = here.quarantine.begin(HARMFUL, start('c'));
+    const [local, peer] = [startNode(clock), startNode(clock)];
+    await crashAt(local, clock, 'a');
+    await crashAt(local, clock, 'b');
+    local.updates.forEach((update) => peer.quarantine.takeNews('here', update));
+    const attempt = local.quarantine.begin(HARMFUL, start('c'));
     await clock.advance(50);
-    there.quarantine.takeNews('here', here.news.at(-1));
-    expect(here.quarantine.refusal(HARMFUL)).to.deep.equal({ reason: 'crash-suspect' });
-    expect(there.quarantine.refusal(HARMFUL)).to.deep.equal({ reason: 'crash-suspect' });
-    run.noteWhole();
-    run.end();
+    peer.quarantine.takeNews('here', local.updates.at(-1));
+    expect(local.quarantine.refusal(HARMFUL)).to.deep.equal({ reason: 'crash-suspect' });
+    expect(peer.quarantine.refusal(HARMFUL)).to.deep.equal({ reason: 'crash-suspect' });
+    attempt.noteWhole();
+    attempt.end();
     await clock.advance(50);
-    there.quarantine.takeNews('here', here.news.at(-1));
-    expect(here.quarantine.refusal(HARMFUL)).to.equal(undefined);
-    expect(there.quarantine.refusal(HARMFUL)).to.equal(undefined);
+    peer.quarantine.takeNews('here', local.updates.at(-1));
+    expect(local.quarantine.refusal(HARMFUL)).to.equal(undefined);
+    expect(peer.quarantine.refusal(HARMFUL)).to.equal(undefined);
   });
 
-  // The crashes are seen at three entries, one each; all of them, one that is linked later, and one that starts
-  // when all are gone refuse the request.
-  it('reaches the other entries, and those that start later by the record', async () => {
+  // Three entries see one crash each. All three must refuse the request, and so must an entry that is linked later and
+  // one that starts after all others have stopped.
+  it('shares a quarantine with the other entries, and by its record with those that start later', async () => {
     const clock = clockForNodes();
     const nodes = [startNode(clock), startNode(clock), startNode(clock)];
     for (const [at, node] of nodes.entries()) {
       await crashAt(node, clock, `i${at}`);
-      node.news.forEach((told) =>
-        nodes.forEach((other) => other.quarantine.takeNews(`n${at}`, told)),
+      node.updates.forEach((update) =>
+        nodes.forEach((other) => other.quarantine.takeNews(`n${at}`, update)),
       );
     }
     const [first] = nodes;
@@ -273,14 +279,15 @@
     expect(reasons).to.deep.equal(new Array(5).fill('quarantined'));
   });
 
-  // The entry that saw the last crash was killed while the platform was down: its peers write the record.
-  it('writes the record of a quarantine that another entry could not write', async () => {
+  // The entry that saw the last crash is killed while the platform is down, so that one of its peers has to write the
+  // record.
+  it('writes the record of a quarantine that another entry failed to write', async () => {
     const clock = clockForNodes();
     let isUp = false;
-    const [dead, peer] = [startNode(clock, () => false), startNode(clock, () => isUp)];
+    const [killed, peer] = [startNode(clock, () => false), startNode(clock, () => isUp)];
     for (const instance of ['a', 'b', 'c']) {
-      await crashAt(dead, clock, instance);
-      dead.news.splice(0).forEach((told) => peer.quarantine.takeNews('dead', told));
+      await crashAt(killed, clock, instance);
+      killed.updates.splice(0).forEach((update) => peer.quarantine.takeNews('dead', update));
     }
     await clock.advance(5_000);
     expect(peer.records.size).to.equal(0);
@@ -289,27 +296,28 @@
     expect([...peer.records.keys()]).to.deep.equal([HARMFUL]);
   });
 
-  // An operator drops the key, or the request ran well somewhere: it is served again at all entries.
-  it('ends when the record is dropped', async () => {
+  // When an operator deletes the record, or an entry at which the request succeeded, all entries serve the request
+  // again.
+  it('ends a quarantine when its record is deleted', async () => {
     const clock = clockForNodes();
     const node = startNode(clock);
     await recordAndDrop(node, clock);
     expect(node.quarantine.refusal(HARMFUL)).to.equal(undefined);
-    // What a peer tells of the time before is outdated.
+    // A peer's reports from before the deletion are outdated.
     const peer = startNode(clock);
-    node.news.forEach((told) => peer.quarantine.takeNews('n', told));
+    node.updates.forEach((update) => peer.quarantine.takeNews('n', update));
     node.quarantine.takeNews('p', peer.quarantine.whole());
     expect(node.quarantine.refusal(HARMFUL)).to.equal(undefined);
   });
 
-  // The platform's log is restored from a copy from before the quarantine. Entries that start later would send the
-  // request to three more upstreams before it is in quarantine again.
-  it('is written again when a restored log lacks its record, by one entry where that one can', async () => {
+  // The platform's log is restored from a copy made before the quarantine. Without the record, entries that start
+  // later would crash three more upstreams before they quarantine the request again.
+  it('rewrites a record that a restored log lacks, once for all entries', async () => {
     const clock = clockForNodes();
     const [reader, peer] = [startNode(clock), startNode(clock)];
     for (const instance of ['a', 'b', 'c']) {
       await crashAt(reader, clock, instance);
-      reader.news.splice(0).forEach((told) => peer.quarantine.takeNews('reader', told));
+      reader.updates.splice(0).forEach((update) => peer.quarantine.takeNews('reader', update));
     }
     const value = reader.records.get(HARMFUL);
     [reader, peer].forEach(({ quarantine, records }) => {
@@ -325,7 +333,7 @@
     expect([...peer.records.keys()]).to.deep.equal([]);
   });
 
-  it('is written by another entry where the one that reads the log can not', async () => {
+  it('rewrites a record when the entry that reads the log fails to do so', async () => {
     const clock = clockForNodes();
     const peer = startNode(clock);
     for (const instance of ['a', 'b', 'c']) await crashAt(peer, clock, instance);
@@ -336,9 +344,9 @@
     expect([...peer.records.keys()]).to.deep.equal([HARMFUL]);
   });
 
-  // The request ran well and its record was dropped; the restored log has the record again. Entries that start later
-  // would refuse a sound request for ten minutes.
-  it('is dropped again when a restored log brings back the record of a request that ran well', async () => {
+  // A request has succeeded and its record was deleted, but a restored log contains the record again. Entries that
+  // start later would refuse a harmless request for ten minutes.
+  it('deletes the record of a request that succeeded when a restored log brings it back', async () => {
     const clock = clockForNodes();
     const node = startNode(clock);
     const value = await recordAndDrop(node, clock);
@@ -351,22 +359,22 @@
     expect([...node.records]).to.deep.equal([[HARMFUL, undefined]]);
   });
 
-  it('drops notes and records that are not sound', () => {
+  it('ignores invalid updates and records', () => {
     const node = startNode();
     const crash = { fingerprint: HARMFUL, instance: 'a', sentAgoMs: 5, endedAgoMs: 1 };
-    const sound = { crashes: [crash], quarantined: [], sound: [], tried: [] };
-    const unsound: unknown[] = [
+    const valid = { crashes: [crash], quarantined: [], sound: [], tried: [] };
+    const invalid: unknown[] = [
       undefined,
       'text',
       {},
-      { ...sound, crashes: [{ ...crash, fingerprint: 'x' }] },
-      { ...sound, crashes: [{ ...crash, sentAgoMs: -1 }] },
-      { ...sound, crashes: [{ ...crash, endedAgoMs: 9 }] },
-      { ...sound, crashes: new Array(300).fill(crash) },
-      { ...sound, quarantined: [{ fingerprint: HARMFUL, sinceAgoMs: 0, leftMs: NaN }] },
-      { ...sound, tried: [1] },
+      { ...valid, crashes: [{ ...crash, fingerprint: 'x' }] },
+      { ...valid, crashes: [{ ...crash, sentAgoMs: -1 }] },
+      { ...valid, crashes: [{ ...crash, endedAgoMs: 9 }] },
+      { ...valid, crashes: new Array(300).fill(crash) },
+      { ...valid, quarantined: [{ fingerprint: HARMFUL, sinceAgoMs: 0, leftMs: NaN }] },
+      { ...valid, tried: [1] },
     ];
-    unsound.forEach((value) => node.quarantine.takeNews('p', value));
+    invalid.forEach((value) => node.quarantine.takeNews('p', value));
     node.quarantine.takeRecord({ key: HARMFUL, value: Buffer.from('{"since":5,"until":1}') });
     node.quarantine.takeRecord({ key: HARMFUL, value: Buffer.from('no') });
     expect(node.quarantine.whole().crashes).to.deep.equal([]);
--- a/packages/gateway/test/rate-limit.test.ts
+++ b/packages/gateway/test/rate-limit.test.ts
@@ -10,14 +10,14 @@
 import type { Act } from './support/fake-upstream.js';
 import { runs, withEntry } from './support/with-entry.js';
 
-const whole = (): number => 1;
+const allConnected = (): number => 1;
 
 describe("an upstream's limit on requests", () => {
-  // Entries that draw from the limit at the same moment send too many; unless they pay that off, each meeting adds to
-  // what the upstream gets.
-  it('is paid off by waiting when entries have sent too many', async () => {
+  // Entries that use the limit at the same time send too many requests together. Unless they wait for the excess to be
+  // compensated, each such collision raises the rate that the upstream receives.
+  it('compensates by waiting when entries have sent too many requests', async () => {
     const clock = createManualClock();
-    const limit = createRateLimit(clock, whole);
+    const limit = createRateLimit(clock, allConnected);
     limit.set(2);
     expect(limit.waitMs()).to.equal(500);
     await clock.advance(500);
@@ -26,21 +26,21 @@
     expect(limit.waitMs()).to.equal(1_500);
   });
 
-  // After a quiet minute a limit of 20 a second would let sixty seconds of requests through at once.
-  it('allows no more than a quarter of a second at once after a pause', async () => {
+  // After an idle minute a limit of 20 per second would otherwise let through a burst of a minute's requests.
+  it('allows a burst of at most a quarter of a second after an idle time', async () => {
     const clock = createManualClock();
-    const limit = createRateLimit(clock, whole);
+    const limit = createRateLimit(clock, allConnected);
     limit.set(20);
     await clock.advance(60_000);
     limit.spend(5);
     expect(limit.waitMs()).to.equal(50);
   });
 
-  // An answer that was made before the upstream was overloaded comes after the one that bears the limit; taken for the
-  // end of the limit, it would let everything through again.
-  it('is not ended by the answer to a request that was sent before it was named', async () => {
+  // The answer to a request sent before the upstream was overloaded may arrive after the one that advertises the limit.
+  // If it cleared the limit, all requests would be let through again.
+  it('is not cleared by the answer to a request that was sent before the limit was advertised', async () => {
     const clock = createManualClock(1_000);
-    const limit = createRateLimit(clock, whole);
+    const limit = createRateLimit(clock, allConnected);
     expect(limit.set(1)).to.equal(true);
     expect(limit.clear(900)).to.equal(false);
     expect(limit.perSecond()).to.equal(1);
@@ -48,77 +48,77 @@
     expect(limit.waitMs()).to.equal(0);
   });
 
-  // An upstream that names 0 gets no request and so has no answer in which to clear it.
-  it('lets a request through now and then when it is 0', async () => {
+  // With a limit of 0 an upstream would receive no request, and so could never clear the limit in an answer.
+  it('lets a single request through at intervals when it is 0', async () => {
     const clock = createManualClock();
-    const limit = createRateLimit(clock, whole);
+    const limit = createRateLimit(clock, allConnected);
     limit.set(0);
     expect(limit.waitMs()).to.equal(10_000);
     await clock.advance(10_000);
     expect(limit.waitMs()).to.equal(0);
   });
 
-  // A partition leaves two halves of the entries that hear nothing of each other; each would take the whole limit.
-  it('is drawn from by the part of the entries that hear of each other', async () => {
+  // A partition splits the entries into two halves that receive nothing from each other; each would use the full limit.
+  it('is reduced to the fraction of the entries that are connected', async () => {
     const clock = createManualClock();
-    const share = createConnectedEntries(clock);
-    ['b', 'c', 'd'].forEach(share.recordLinked);
-    expect(share.connectedFraction()).to.equal(1);
-    const limit = createRateLimit(clock, share.connectedFraction);
+    const connected = createConnectedEntries(clock);
+    ['b', 'c', 'd'].forEach(connected.recordLinked);
+    expect(connected.connectedFraction()).to.equal(1);
+    const limit = createRateLimit(clock, connected.connectedFraction);
     limit.set(1);
-    ['c', 'd'].forEach(share.recordLost);
+    ['c', 'd'].forEach(connected.recordLost);
     expect(limit.waitMs()).to.equal(2_000);
-    share.recordLinked('c');
-    expect(share.connectedFraction()).to.equal(0.75);
+    connected.recordLinked('c');
+    expect(connected.connectedFraction()).to.equal(0.75);
     await clock.advance(60_001);
-    expect(share.connectedFraction()).to.equal(1);
+    expect(connected.connectedFraction()).to.equal(1);
   });
 });
 
-describe('limits that entries tell each other', () => {
+describe('rate limit updates between entries', () => {
   const record = {
     ...{ instance: 'i', startedAt: 5, service: 's', host: '10.0.0.1', port: 80, dataCentre: 'd' },
     ...{ slots: 4, state: 'ready' as const, warmupLeftMs: 0, sequence: 1 },
   };
 
-  const start = () => {
+  const startLimits = () => {
     const clock = createManualClock(1_000);
     const upstream = createUpstream(record, clock);
-    const told: RateNews[] = [];
+    const updates: RateNews[] = [];
     const limits = createRateLimits({
       upstreams: () => [upstream],
-      tell: (news) => told.push(news),
+      tell: (update) => updates.push(update),
       metrics: createMetrics(),
       log: silentEventLog,
     });
     const answer = (perSecond: number | undefined, hasRun = true): void =>
       limits.noteAnswer(upstream, { requestId: 'q', perSecond, sentAt: clock.monotonic(), hasRun });
-    return { clock, upstream, limits, told, answer };
+    return { clock, upstream, limits, updates, answer };
   };
 
-  it('are told when they begin, for each request that is sent, and when they end', () => {
-    const { upstream, limits, told, answer } = start();
+  it('are broadcast when a limit is set, for each request sent, and when the limit is cleared', () => {
+    const { upstream, limits, updates, answer } = startLimits();
     limits.noteSent(upstream);
     answer(4);
     answer(4);
     limits.noteSent(upstream);
-    expect(limits.whole()).to.deep.equal({ ...told[0], sent: [] });
+    expect(limits.whole()).to.deep.equal({ ...updates[0], sent: [] });
     answer(undefined);
-    expect(told).toMatchSnapshot();
+    expect(updates).toMatchSnapshot();
   });
 
-  // An upstream that is full refuses without a word on its limit; it needs it all the more.
-  it('are not ended by a refusal that does not bear them', () => {
-    const { upstream, answer } = start();
+  // A full upstream refuses requests without advertising its limit, while it needs the limit most.
+  it('do not clear a limit after a refusal that does not advertise it', () => {
+    const { upstream, answer } = startLimits();
     answer(4);
     answer(undefined, false);
     expect(upstream.rate.perSecond()).to.equal(4);
   });
 
-  // The upstream crashed and started again under its instance. What a peer knew of its former start would hold the new
-  // one down for as long as nobody asks it.
-  it('hold for the start of the upstream that they were told of', () => {
-    const { upstream, limits } = start();
+  // An upstream crashed and started again with the same instance id. A limit that a peer knows from the earlier start
+  // would restrict the new one for as long as no request is sent to it.
+  it('apply only to the start of the upstream that they name', () => {
+    const { upstream, limits } = startLimits();
     limits.takeNews('e2', { limits: [{ instance: 'i', startedAt: 4, perSecond: 1 }], sent: [] });
     expect(upstream.rate.perSecond()).to.equal(undefined);
     limits.takeNews('e2', {
@@ -130,7 +130,7 @@
     expect(upstream.rate.waitMs()).to.equal(0);
   });
 
-  it('are read from sound notes only', () => {
+  it('are ignored when they are invalid', () => {
     const limit = { instance: 'i', startedAt: 0, perSecond: 1.5 };
     const sent = { instance: 'i', startedAt: 0, requests: 1 };
     expect(readRateLimitUpdate({ limits: [limit], sent: [sent] })).to.not.equal(undefined);
@@ -143,16 +143,16 @@
   });
 });
 
-describe('serving before upstreams that name limits', () => {
+describe('serving with upstreams that advertise rate limits', () => {
   const limited =
     (perSecond: number): Act =>
     (req, res) => {
       res.writeHead(200, { ...soundHeaders(req), 'x-rate-limit': String(perSecond) }).end('ok');
     };
 
-  // Both upstreams have named limits that are used up. Held until its deadline the caller would learn nothing; sent on
-  // all the same, it would be the request that an overloaded upstream can't take.
-  it('refuses at once, with the time until a request may be sent, when all limits are used up', async () => {
+  // The limits of both upstreams are used up. If the caller waited until its deadline, it would not learn when to
+  // retry; if its request was sent nevertheless, it would overload an upstream.
+  it('refuses at once with a retry time when all limits are used up', async () => {
     await withEntry([limited(0.5), limited(0.25)], {}, async (entry, upstreams) => {
       expect((await entry.ask()).status).to.equal(200);
       expect((await entry.ask()).status).to.equal(200);
@@ -164,7 +164,7 @@
     });
   });
 
-  // A retry has to go where there is room as well: the first upstream refuses, the second one is at its limit.
+  // A retry needs an upstream with capacity, too: the first upstream refuses, and the second one is at its limit.
   it('does not retry at an upstream whose limit is used up', async () => {
     await withEntry([answerOk(), limited(0.5)], {}, async (entry, [first, second]) => {
       while (second?.seen.length === 0) await entry.ask();
--- a/packages/gateway/test/reopening.test.ts
+++ b/packages/gateway/test/reopening.test.ts
@@ -6,63 +6,63 @@
 import type { Act } from './support/fake-upstream.js';
 import { eventsOf, runs, stream, wait, withEntry } from './support/with-entry.js';
 
-const start = () => {
+const startOutages = () => {
   const clock = createManualClock();
-  const reopening = createReopening({ clock, metrics: createMetrics(), log: silentEventLog });
+  const outages = createReopening({ clock, metrics: createMetrics(), log: silentEventLog });
   const ended: [name: string, outcome: WaitOutcome][] = [];
-  const join = (name: string, urgency = 1, room = 9, waitMs = 1_000, isLastTry = true): void => {
-    void reopening
+  const enqueue = (name: string, urgency = 1, room = 9, waitMs = 1_000, isLastTry = true): void => {
+    void outages
       .wait('s', { until: clock.monotonic() + waitMs, urgency, room, isLastTry })
       .then((outcome) => ended.push([name, outcome]));
   };
-  return { clock, reopening, ended, join };
+  return { clock, outages, ended, enqueue };
 };
 
-describe('waiting for a group that forms anew', () => {
-  it('lets one caller ask at a time and all go on with the first answer, in turn', async () => {
-    const { clock, reopening, ended, join } = start();
-    reopening.noteRefusing('s');
-    join('first');
-    join('second');
-    join('urgent', 0);
-    join('third');
+describe('waiting for a group that re-forms', () => {
+  it('lets one caller probe at a time, and releases all by urgency at the first answer', async () => {
+    const { clock, outages, ended, enqueue } = startOutages();
+    outages.noteRefusing('s');
+    enqueue('first');
+    enqueue('second');
+    enqueue('urgent', 0);
+    enqueue('third');
     await clock.advance(120);
     expect(ended).to.deep.equal([['urgent', 'ask']]);
-    reopening.noteRefusing('s');
+    outages.noteRefusing('s');
     await clock.advance(50);
-    reopening.noteAnswer('s');
+    outages.noteAnswer('s');
     await clock.advance(0);
     expect(ended.slice(1)).to.deep.equal([
       ['first', 'open'],
       ['second', 'open'],
       ['third', 'open'],
     ]);
-    expect(reopening.isClosed('s')).to.equal(false);
+    expect(outages.isClosed('s')).to.equal(false);
   });
 
-  // The group has opened, but its first passes are long: the caller that asked sees its first event
-  // half a second later. Until then an entry went on refusing, for up to 1.9 s after the opening. Ranks
-  // that refuse do so at once, so silence tells that the group is open.
-  it('counts as open when the one that asks is not refused at once', async () => {
-    const { clock, reopening, ended, join } = start();
-    reopening.noteRefusing('s');
-    join('first');
-    join('second');
+  // The first passes of a group that has formed are long: the first event of the probe takes half a second, and the
+  // entry went on refusing for up to 1.9 s. Ranks that refuse do so at once, so a probe without an answer means that
+  // the group serves again.
+  it('ends the outage when the probe is not refused at once', async () => {
+    const { clock, outages, ended, enqueue } = startOutages();
+    outages.noteRefusing('s');
+    enqueue('first');
+    enqueue('second');
     await clock.advance(120);
     expect(ended).to.deep.equal([['first', 'ask']]);
     await clock.advance(120);
     expect(ended.slice(1)).to.deep.equal([['second', 'open']]);
-    expect(reopening.isClosed('s')).to.equal(false);
+    expect(outages.isClosed('s')).to.equal(false);
   });
 
-  // The one that asks meets an instance that is gone, which says nothing of the group.
-  it('stays closed when the one that asks learns nothing', async () => {
-    const { clock, reopening, ended, join } = start();
-    reopening.noteRefusing('s');
-    join('first');
-    join('second');
+  // The probe was sent to an instance that no longer exists, which says nothing about the group.
+  it('continues the outage when the probe is inconclusive', async () => {
+    const { clock, outages, ended, enqueue } = startOutages();
+    outages.noteRefusing('s');
+    enqueue('first');
+    enqueue('second');
     await clock.advance(120);
-    reopening.noteNothing('s');
+    outages.noteNothing('s');
     await clock.advance(120);
     expect(ended).to.deep.equal([
       ['first', 'ask'],
@@ -70,19 +70,19 @@
     ]);
   });
 
-  // More wait than there are places: the group opens, and those beyond would queue behind all others
-  // until they are late. They are told at once, and waits end in time for the caller to come back.
-  it('takes no more than there is room for, and nobody for longer than it may wait', async () => {
-    const { clock, reopening, ended, join } = start();
-    reopening.noteRefusing('s');
-    join('a', 1, 2, 150);
-    join('b', 1, 2, 150);
-    join('c', 1, 2, 150);
+  // With an unlimited wait queue, the last callers would queue at the upstreams until they are late. Callers beyond
+  // the limit are refused at once, and waits end in time for the caller to retry.
+  it('limits the number of waiting callers and the time that they wait', async () => {
+    const { clock, outages, ended, enqueue } = startOutages();
+    outages.noteRefusing('s');
+    enqueue('a', 1, 2, 150);
+    enqueue('b', 1, 2, 150);
+    enqueue('c', 1, 2, 150);
     await clock.advance(0);
     expect(ended).to.deep.equal([['c', 'no-room']]);
     for (let n = 0; n < 4; n += 1) {
       await clock.advance(100);
-      reopening.noteRefusing('s');
+      outages.noteRefusing('s');
     }
     expect(ended.slice(1)).to.deep.equal([
       ['a', 'ask'],
@@ -90,15 +90,15 @@
     ]);
   });
 
-  // Callers that have another try are told to come later. They ask where nobody has lately, or an entry
-  // at which none waits would go on refusing after the group has opened.
-  it('keeps nobody waiting who may come back, and lets one of them ask now and then', async () => {
-    const { clock, reopening, ended, join } = start();
-    reopening.noteRefusing('s');
-    join('a', 1, 9, 1_000, false);
+  // Callers that may retry are told to do so later. One of them probes when there was no probe recently; otherwise an
+  // entry without waiting callers would go on refusing after the group has formed.
+  it('does not queue callers that may retry, but lets one of them probe at intervals', async () => {
+    const { clock, outages, ended, enqueue } = startOutages();
+    outages.noteRefusing('s');
+    enqueue('a', 1, 9, 1_000, false);
     await clock.advance(120);
-    join('b', 1, 9, 1_000, false);
-    join('c', 1, 9, 1_000, false);
+    enqueue('b', 1, 9, 1_000, false);
+    enqueue('c', 1, 9, 1_000, false);
     await clock.advance(0);
     expect(ended).to.deep.equal([
       ['a', 'no-room'],
@@ -107,38 +107,38 @@
     ]);
   });
 
-  it('forgets a closure of which nothing was heard for a second', async () => {
-    const { clock, reopening } = start();
-    reopening.noteRefusing('s');
-    expect(reopening.isClosed('s')).to.equal(true);
+  it('drops an outage one second after its last refusal', async () => {
+    const { clock, outages } = startOutages();
+    outages.noteRefusing('s');
+    expect(outages.isClosed('s')).to.equal(true);
     await clock.advance(1_001);
-    expect(reopening.isClosed('s')).to.equal(false);
+    expect(outages.isClosed('s')).to.equal(false);
   });
 });
 
-describe('callers of a group that forms anew', () => {
+describe('serving callers of a group that re-forms', () => {
   const UPSTREAMS = 6;
   const acts = (act: Act): Act[] => new Array<Act>(UPSTREAMS).fill(act);
 
-  // All ranks refuse while the group forms. The callers are back from a cut stream and won't be back
-  // again. They wait for the half second that it takes, few attempts are made, and all are served.
-  it('wait and are served when it opens', async () => {
+  // All ranks refuse while the group forms. Callers that resume a cut stream won't come back a second time, so they
+  // wait the half second until the group has formed. Few attempts are made meanwhile, and all callers are served.
+  it('serves waiting callers once the group has formed', async () => {
     await withEntry(acts(refuseUnrun), { route: stream }, async (entry, upstreams) => {
-      const early = await Promise.all(Array.from({ length: 3 }, () => entry.ask()));
-      expect(early.map(({ status }) => status)).to.include(503);
-      const asked = Array.from({ length: 6 }, () => entry.ask({ 'x-after': '0' }));
+      const firstAnswers = await Promise.all(Array.from({ length: 3 }, () => entry.ask()));
+      expect(firstAnswers.map(({ status }) => status)).to.include(503);
+      const requests = Array.from({ length: 6 }, () => entry.ask({ 'x-after': '0' }));
       await wait(350);
-      const before = runs(upstreams);
+      const runsDuringOutage = runs(upstreams);
       upstreams.forEach((upstream) => upstream.act(streamEvents([1, 2], 'whole')));
-      const answers = await Promise.all(asked);
+      const answers = await Promise.all(requests);
       expect(answers.map(({ body }) => eventsOf(body))).to.deep.equal(
-        new Array(asked.length).fill([1, 2]),
+        new Array(requests.length).fill([1, 2]),
       );
-      expect(before).to.be.below(20);
+      expect(runsDuringOutage).to.be.below(20);
     });
   });
 
-  it('are refused with a time to come back when it stays closed', async () => {
+  it('refuses callers with a retry time when the outage continues', async () => {
     await withEntry(acts(refuseUnrun), { route: stream }, async (entry) => {
       const answers = await Promise.all(Array.from({ length: 8 }, () => entry.ask()));
       answers.forEach((answer) => {
@@ -149,14 +149,14 @@
     });
   });
 
-  // A request without a stream has its answer read whole, and waits no differently.
-  it('need not ask for a stream', async () => {
+  // The answer to a request without a stream is read as a whole; the wait before it is the same.
+  it('queues requests without a stream as well', async () => {
     await withEntry(acts(refuseUnrun), { route: { kind: 'safe' } }, async (entry, upstreams) => {
       await Promise.all(Array.from({ length: 3 }, () => entry.ask()));
-      const asked = entry.ask({ 'x-after': '0' });
+      const request = entry.ask({ 'x-after': '0' });
       await wait(50);
       upstreams.forEach((upstream) => upstream.act(answerOk()));
-      expect((await asked).status).to.equal(200);
+      expect((await request).status).to.equal(200);
     });
   });
 });
