--- a/packages/mirror/src/follow.ts
+++ b/packages/mirror/src/follow.ts
@@ -1,15 +1,15 @@
-/** Keeps a mirror up to date from the platform's log, and from peers while the log fails. */
+/** Keeps a mirror up to date from the platform's log, and from peers while the log is unavailable. */
 
 import type { Clock, EventLog, Metrics, Pause } from '@plantaindrum/common';
 import { createPause, sleep } from '@plantaindrum/common';
 import type { KeyedItem, KeyedMirror, KeyedRecord } from './keyed-mirror.js';
-import { createLostKeys } from './lost-keys.js';
-import { readPicture } from './picture.js';
-import type { Picture } from './picture.js';
+import { createUnconfirmedExpiry } from './unconfirmed-expiry.js';
+import { readSnapshot } from './topic-snapshot.js';
+import type { TopicSnapshot } from './topic-snapshot.js';
 import { WHOLE } from './topic.js';
 import type { AskPeers, KeyedTopic, LogFailure, PeerPush, PeerRecords } from './topic.js';
 
-/** How a node learnt that the log was restored from an older copy. */
+/** Where the mirror got the first snapshot of a log that was restored from an older copy. */
 export type RestoreSource = 'log' | 'peer';
 
 /** Options of `followTopic`. */
@@ -17,18 +17,21 @@
   topic: KeyedTopic;
   mirror: KeyedMirror;
   askPeers: AskPeers;
-  /** Whether a peer reads the log and passes on what it hears; asked before each read. */
+  /** Whether a peer reads the log and forwards its answers to this node; checked before each read. */
   isReadByPeer?: () => boolean;
-  /** Told of each answer of the log, to be passed on. */
+  /** Called after each successful read of the log with what to forward to peers. */
   onAnswer?: (push: PeerPush) => void;
-  /** Told when the mirror has moved on to a log that was restored from an older copy. */
+  /** Called when the mirror has switched to a log that was restored from an older copy. */
   onRestored?: (source: RestoreSource) => void;
-  /** Time after a restore for writers to write again what was lost, in ms; then it is dropped. Without it, it is kept. */
+  /**
+   * Time that writers have after a restore to rewrite keys that the log lost, in ms; those not rewritten are then
+   * dropped. If unset, they are kept.
+   */
   rewrittenWithinMs?: number;
-  /** How long one read waits at the log, and the pause after each read, in milliseconds. */
+  /** Long-poll wait of one read, and the pause after each read, in milliseconds. */
   waitMs: number;
   pauseMs: number;
-  /** Longest pause after failed reads once the topic has been read, in ms; the usual one where it isn't given. */
+  /** Longest retry delay once the topic has been read, in ms. Default: `MAX_RETRY_DELAY_MS`, as before that read. */
   retryMaxMs?: number;
   clock: Clock;
   metrics: Metrics;
@@ -41,67 +44,67 @@
   age(): number;
   /** Milliseconds since the log itself last answered. */
   logAge(): number;
-  /** When the log came back after an outage (monotonic, ms); -Infinity for never. */
+  /** When the log was last reachable again after an outage or a restore (monotonic, ms); -Infinity for never. */
   logBackAt(): number;
-  /** Asks peers now: one of them is known to be ahead. */
+  /** Fetches from peers at once, because one of them is known to be ahead. */
   hurry(): void;
-  /** Another topic has shown that the log was restored: reads what this one holds now. */
+  /** Reads a new snapshot if another topic has shown that the log is at a later generation, so has been restored. */
   noteGeneration(generation: number): void;
-  /** Takes what a peer passes on. */
+  /** Applies records that a peer forwards from the log. */
   takePush(push: PeerPush): void;
   close(): void;
 }
 
-/** Pause after a failed read, in ms: short against the two seconds in which a change is due. */
-const RETRY_MS = 200;
-/** Longest pause after failed reads, in ms: refused calls are paid for as well. */
-const RETRY_MAX_MS = 800;
-/** Peers are asked this often while the log doesn't answer, in ms. */
-const PEER_MS = 250;
-/** Without an answer for this long beyond what a read waits, the log counts as lost, in ms. */
-const LOST_MS = 700;
+/** Delay after a failed read, in ms, doubled each time. Short, as a change must reach all nodes within two seconds. */
+const RETRY_DELAY_MS = 200;
+/** Longest delay after failed reads, in ms. Retries back off because refused calls are billed too. */
+const MAX_RETRY_DELAY_MS = 800;
+/** Interval of fetching from peers while the log doesn't answer, in ms. */
+const PEER_FETCH_INTERVAL_MS = 250;
+/** The log counts as lost when it hasn't answered for this long beyond the time of one read and its pause, in ms. */
+const LOG_LOST_SLACK_MS = 700;
 /**
- * A peer that reads the log for others tells them after each read. Without its word for this long
- * beyond the time between its reads, each reads the log itself again, in ms.
+ * A peer that reads the log for others pushes the result of each read to them. When no push has come for this long
+ * beyond the time between two reads, each node reads the log itself again, in ms.
  */
-const WORD_SLACK_MS = 400;
-/** How often a node that leaves reading to a peer looks whether the peer still does, in ms. */
-const LEFT_MS = 100;
+const PUSH_SLACK_MS = 400;
+/** How often a node that delegates reading checks that the peer still pushes, in ms. */
+const DELEGATION_CHECK_INTERVAL_MS = 100;
 
-const withValue = ({ key, value, offset }: KeyedRecord): KeyedItem[] =>
+const toItems = ({ key, value, offset }: KeyedRecord): KeyedItem[] =>
   value === undefined ? [] : [{ key, value, offset }];
 
-/** Starts to follow a topic; runs until `close`. */
+/** Starts following a topic; runs until `close`. */
 export const followTopic = (options: FollowOptions): Follower => {
   const { topic, mirror, askPeers, waitMs, pauseMs, clock, metrics, log } = options;
   const pause: Pause = createPause(clock);
   let stopped = false;
   let confirmedAt = -Infinity;
   let logAnsweredAt = -Infinity;
-  let backAt = -Infinity;
+  let recoveredAt = -Infinity;
   let pushedAt = -Infinity;
   let failures = 0;
-  /** A peer has moved on to a restored log, and what it holds there isn't known yet. */
-  let needsPicture = false;
-  const lostKeys = createLostKeys({
+  /** A peer has switched to a restored log, of which this node has no snapshot yet. */
+  let needsSnapshot = false;
+  const unconfirmedExpiry = createUnconfirmedExpiry({
     topic: topic.name,
     mirror,
-    withinMs: options.rewrittenWithinMs,
+    rewriteTimeoutMs: options.rewrittenWithinMs,
     clock,
     log,
   });
 
-  const held = (): { generation: number; end: number } => ({
+  const position = (): { generation: number; end: number } => ({
     generation: mirror.generation(),
     end: mirror.end(),
   });
 
   const since = (at: number): number => clock.monotonic() - at;
 
-  const noteAnswer = (isConfirmed: boolean): void => {
+  const recordAnswer = (isConfirmed: boolean): void => {
     const now = clock.monotonic();
     if (failures > 0) {
-      backAt = now;
+      recoveredAt = now;
       log.event('log-back', { topic: topic.name, failures, end: mirror.end() });
     }
     failures = 0;
@@ -109,16 +112,16 @@
     if (isConfirmed) confirmedAt = now;
   };
 
-  const noteFailure = (why: LogFailure): void => {
+  const recordFailure = (why: LogFailure): void => {
     if (failures === 0) log.event('log-lost', { topic: topic.name, why, end: mirror.end() });
     failures += 1;
     metrics.count('gateway_log_read_failed', { topic: topic.name, why });
   };
 
-  const noteRestored = (before: ReturnType<typeof held>, source: RestoreSource): void => {
-    const now = held();
+  const handleRestore = (before: ReturnType<typeof position>, source: RestoreSource): void => {
+    const now = position();
     if (before.generation < 0 || before.generation === now.generation) return;
-    backAt = clock.monotonic();
+    recoveredAt = clock.monotonic();
     metrics.count('gateway_log_restored', { topic: topic.name });
     log.event('log-restored', {
       topic: topic.name,
@@ -128,100 +131,100 @@
       ...now,
       unconfirmed: mirror.unconfirmed().length,
     });
-    lostKeys.dropLater();
+    unconfirmedExpiry.scheduleDrop();
     options.onRestored?.(source);
   };
 
-  /** Takes a whole picture, also one of a log that was restored; false for one that is too old. */
-  const takePicture = (picture: Picture, source: RestoreSource): boolean => {
-    const { items, end, generation } = picture;
-    const before = held();
-    const isTaken = mirror.replace(items, end, generation);
-    if (isTaken) {
-      needsPicture = false;
-      noteRestored(before, source);
+  /** Applies a snapshot, also one of a restored log; false if it is older than the mirror. */
+  const applySnapshot = (snapshot: TopicSnapshot, source: RestoreSource): boolean => {
+    const { items, end, generation } = snapshot;
+    const before = position();
+    const isApplied = mirror.replace(items, end, generation);
+    if (isApplied) {
+      needsSnapshot = false;
+      handleRestore(before, source);
       return true;
     }
     metrics.count('gateway_pictures_left_out', { topic: topic.name });
-    const place = { beforeGeneration: before.generation, beforeEnd: before.end };
-    log.event('picture-left-out', { topic: topic.name, generation, end, ...place });
+    const previous = { beforeGeneration: before.generation, beforeEnd: before.end };
+    log.event('picture-left-out', { topic: topic.name, generation, end, ...previous });
     return false;
   };
 
-  const passOn = (after: number): void => {
-    options.onAnswer?.({ after, records: mirror.changesAfter(after), ...held() });
+  const forwardAnswer = (after: number): void => {
+    options.onAnswer?.({ after, records: mirror.changesAfter(after), ...position() });
   };
 
-  const hasWord = (): boolean => since(pushedAt) < waitMs + pauseMs + WORD_SLACK_MS;
+  const hasRecentPush = (): boolean => since(pushedAt) < waitMs + pauseMs + PUSH_SLACK_MS;
 
-  const readAll = async (): Promise<boolean> => {
-    const read = await readPicture(topic);
+  const resync = async (): Promise<boolean> => {
+    const read = await readSnapshot(topic);
     if (read.outcome === 'failed') {
-      noteFailure(read.why);
+      recordFailure(read.why);
       return false;
     }
     if (read.outcome === 'restored') return false;
-    // A read that waited at the log is answered after the node has stopped: its links would be dialled anew.
+    // A long poll may be answered after `close`; applying the answer would make the stopped node dial links again.
     if (stopped) return true;
-    const before = held();
-    const isTaken = takePicture(read.picture, 'log');
-    noteAnswer(isTaken);
-    passOn(before.generation === mirror.generation() ? before.end : WHOLE);
+    const before = position();
+    const isApplied = applySnapshot(read.snapshot, 'log');
+    recordAnswer(isApplied);
+    forwardAnswer(before.generation === mirror.generation() ? before.end : WHOLE);
     return true;
   };
 
-  const readOn = async (): Promise<boolean> => {
+  const readNext = async (): Promise<boolean> => {
     const generation = mirror.generation();
     const read = await topic.read(mirror.end(), failures > 0 ? 0 : waitMs);
     if (read.outcome === 'failed') {
-      noteFailure(read.why);
+      recordFailure(read.why);
       return false;
     }
     if (stopped) return true;
-    // A peer has moved this mirror on to a restored log meanwhile: the read began at a place of the lost one.
+    // A push may have switched this mirror to a restored log during the read, whose offset belongs to the lost log.
     if (mirror.generation() !== generation || read.generation < generation) return true;
-    if (read.generation > generation) return readAll();
+    if (read.generation > generation) return resync();
     if (read.outcome === 'expired') {
       log.event('log-history-gone', { topic: topic.name, from: mirror.end() });
-      return readAll();
+      return resync();
     }
     const after = mirror.end();
     mirror.apply(read.records, read.end, read.generation);
-    noteAnswer(true);
-    passOn(after);
+    recordAnswer(true);
+    forwardAnswer(after);
     return true;
   };
 
   const followLog = async (): Promise<void> => {
-    let isWhole = false;
+    let isLoaded = false;
     while (!stopped) {
-      if (isWhole && !needsPicture && options.isReadByPeer?.() && hasWord()) {
-        await pause.wait(LEFT_MS);
+      if (isLoaded && !needsSnapshot && options.isReadByPeer?.() && hasRecentPush()) {
+        await pause.wait(DELEGATION_CHECK_INTERVAL_MS);
         continue;
       }
-      const done: boolean = isWhole && !needsPicture ? await readOn() : await readAll();
-      isWhole = isWhole || done;
+      const succeeded: boolean = isLoaded && !needsSnapshot ? await readNext() : await resync();
+      isLoaded = isLoaded || succeeded;
       if (stopped) return;
-      const mostMs = isWhole ? (options.retryMaxMs ?? RETRY_MAX_MS) : RETRY_MAX_MS;
-      const retryMs = Math.min(mostMs, RETRY_MS * 2 ** Math.max(0, failures - 1));
-      await pause.wait(done ? pauseMs : retryMs);
+      const maxRetryMs = isLoaded ? (options.retryMaxMs ?? MAX_RETRY_DELAY_MS) : MAX_RETRY_DELAY_MS;
+      const retryMs = Math.min(maxRetryMs, RETRY_DELAY_MS * 2 ** Math.max(0, failures - 1));
+      await pause.wait(succeeded ? pauseMs : retryMs);
     }
   };
 
-  const takeFromPeer = ({ records, end, generation }: Omit<PeerRecords, 'ageMs'>): void => {
+  const applyPeerRecords = ({ records, end, generation }: Omit<PeerRecords, 'ageMs'>): void => {
     if (generation === mirror.generation() || mirror.generation() < 0) {
       mirror.apply(records, end, generation);
-      lostKeys.dropLater();
+      unconfirmedExpiry.scheduleDrop();
       return;
     }
-    takePicture({ items: records.flatMap(withValue), end, generation }, 'peer');
+    applySnapshot({ items: records.flatMap(toItems), end, generation }, 'peer');
   };
 
-  const askOnce = async (offset: number): Promise<void> => {
+  const fetchOnce = async (offset: number): Promise<void> => {
     const answer = await askPeers(topic.name, { generation: mirror.generation(), offset });
     if (!answer || stopped || answer.generation < mirror.generation()) return;
-    const before = held();
-    takeFromPeer(answer);
+    const before = position();
+    applyPeerRecords(answer);
     confirmedAt = Math.max(confirmedAt, clock.monotonic() - answer.ageMs);
     if (mirror.generation() > before.generation || mirror.end() > before.end) {
       metrics.count('gateway_mirror_from_peer', { topic: topic.name });
@@ -229,55 +232,55 @@
     }
   };
 
-  const followPeers = async (): Promise<void> => {
+  const pollPeers = async (): Promise<void> => {
     while (!stopped) {
-      await sleep(clock, PEER_MS);
-      const isLost = since(logAnsweredAt) > waitMs + pauseMs + LOST_MS;
-      if (!stopped && (isLost || failures > 0) && !hasWord()) await askOnce(mirror.end());
+      await sleep(clock, PEER_FETCH_INTERVAL_MS);
+      const isLost = since(logAnsweredAt) > waitMs + pauseMs + LOG_LOST_SLACK_MS;
+      if (!stopped && (isLost || failures > 0) && !hasRecentPush()) await fetchOnce(mirror.end());
     }
   };
 
   const takePush = (push: PeerPush): void => {
     const { after, end, generation } = push;
     if (stopped || generation < mirror.generation()) return;
-    const isOfLaterLog = generation > mirror.generation() && mirror.generation() >= 0;
-    if (isOfLaterLog && after !== WHOLE) {
-      needsPicture = true;
+    const isLaterGeneration = generation > mirror.generation() && mirror.generation() >= 0;
+    if (isLaterGeneration && after !== WHOLE) {
+      needsSnapshot = true;
       pause.end();
-      void askOnce(WHOLE);
+      void fetchOnce(WHOLE);
       return;
     }
-    // One that is behind this mirror, as of a store that lags for it, confirms nothing.
-    if (!isOfLaterLog && end < mirror.end()) return;
-    if (!isOfLaterLog && after > mirror.end()) {
-      void askOnce(mirror.end());
+    // A peer that is behind this mirror, because it reads from a lagging store, confirms nothing.
+    if (!isLaterGeneration && end < mirror.end()) return;
+    if (!isLaterGeneration && after > mirror.end()) {
+      void fetchOnce(mirror.end());
       return;
     }
-    takeFromPeer({ records: [...push.records], end, generation });
+    applyPeerRecords({ records: [...push.records], end, generation });
     pushedAt = clock.monotonic();
     confirmedAt = pushedAt;
   };
 
   void followLog();
-  void followPeers();
+  void pollPeers();
 
   return {
     age: () => since(confirmedAt),
     logAge: () => since(logAnsweredAt),
-    logBackAt: () => backAt,
+    logBackAt: () => recoveredAt,
     hurry: () => {
-      void askOnce(WHOLE);
+      void fetchOnce(WHOLE);
     },
     noteGeneration: (generation) => {
       const isKnown = mirror.generation() < 0 || generation <= mirror.generation();
-      const isPassedOn = options.isReadByPeer?.() === true && hasWord();
-      // A read that waits at the log may have been lost with the log that it was sent to.
-      if (!stopped && !isKnown && !isPassedOn) void readAll();
+      const isDelegated = options.isReadByPeer?.() === true && hasRecentPush();
+      // A long poll that is pending may never be answered, as it was sent to the log that has been lost.
+      if (!stopped && !isKnown && !isDelegated) void resync();
     },
     takePush,
     close: () => {
       stopped = true;
-      lostKeys.close();
+      unconfirmedExpiry.close();
       pause.end();
     },
   };
--- a/packages/mirror/src/index.ts
+++ b/packages/mirror/src/index.ts
@@ -2,5 +2,5 @@
 export * from './keyed-mirror.js';
 export * from './peer-push.js';
 export * from './publisher.js';
-export * from './roster.js';
+export * from './node-record.js';
 export * from './topic.js';
--- a/packages/mirror/src/keyed-mirror.ts
+++ b/packages/mirror/src/keyed-mirror.ts
@@ -1,6 +1,6 @@
-/** A copy of a keyed topic of the platform's log: the newest value of each key. */
+/** A local copy of a keyed topic of the platform's log: the latest value of each key. */
 
-/** One record of a keyed topic; without a value the key is dropped. */
+/** One record of a keyed topic; a record without a value deletes its key. */
 export interface KeyedRecord {
   key: string;
   value: Uint8Array | undefined;
@@ -11,57 +11,58 @@
 export interface KeyedItem {
   key: string;
   value: Uint8Array;
-  /** `UNCONFIRMED_OFFSET` for one that the log has not shown since it was restored from an older copy. */
+  /** `UNCONFIRMED_OFFSET` for an item not seen in the log since it was restored from an older copy. */
   offset: number;
 }
 
-/** What one record changed. */
+/** A change of one key in a mirror. */
 export interface KeyedChange {
   key: string;
-  /** Undefined: the key is gone. */
+  /** Undefined if the key was deleted. */
   value: Uint8Array | undefined;
 }
 
-/** The newest value of each key, never older than what it held before. */
+/** The latest value of each key. A value is never replaced by an older one. */
 export interface KeyedMirror {
-  /** Generation of the log that the offsets are of; -1 before the first record. */
+  /** Generation of the log that the offsets belong to; -1 before the first record. */
   generation(): number;
   /** Offset after the last record that this mirror knows; -1 before the first. */
   end(): number;
   items(): KeyedItem[];
   /**
-   * Takes records in the order of their offsets; older ones than held are left out, and so are all of another
-   * generation than the mirror's.
+   * Applies records in the order of their offsets. Skips records that are older than the held value of their key,
+   * and all records if they are of another generation than the mirror.
    */
   apply(records: readonly KeyedRecord[], end: number, generation?: number): void;
   /**
-   * Takes a whole picture as of `end`; false for one that is older than this mirror, which is left out. One of a
-   * later generation is the log's restored copy: what it lacks is kept, as its writers write it again.
+   * Applies a full snapshot as of `end`. Returns false and changes nothing if it is older than this mirror. A snapshot
+   * of a later generation is of a restored log: keys that it lacks are kept as unconfirmed, since their writers are
+   * expected to rewrite them.
    */
   replace(items: readonly KeyedItem[], end: number, generation?: number): boolean;
-  /** Keys that the log has not shown since it was restored. */
+  /** Keys not seen in the log since it was restored. */
   unconfirmed(): string[];
-  /** Drops the keys that the log has not shown since it was restored. */
+  /** Deletes the keys not seen in the log since it was restored. */
   dropUnconfirmed(): void;
-  /** What has been dropped since an offset, and the items that are newer, for a peer. */
+  /** Items and deletions from an offset on, for a peer. */
   changesAfter(offset: number): KeyedRecord[];
 }
 
 /** Options of `createKeyedMirror`. */
 export interface KeyedMirrorOptions {
-  /** Order of a key's values by their content. Where it tells two values apart, their offsets don't count. */
+  /** Orders a key's values by their content; takes precedence over their offsets. */
   isNewer?: (value: Uint8Array, than: Uint8Array) => boolean;
 }
 
-/** Offset of an item that is kept from before a restore of the log. */
+/** Offset of an item that was held before the log was restored and has not been seen in the log since. */
 export const UNCONFIRMED_OFFSET = -1;
 
-/** Dropped keys that are remembered, so that a peer learns of them. */
-const DROPPED_KEPT = 512;
-/** A log that doesn't tell its generation, or was never restored. */
+/** How many deleted keys are remembered, so that peers learn of the deletions. */
+const MAX_DROPPED_KEYS = 512;
+/** Generation of a log that was never restored, or that doesn't report its generation. */
 const FIRST_GENERATION = 0;
 
-/** Creates an empty mirror; `onChange` is told of each key that changes. */
+/** Creates an empty mirror; `onChange` is called for each key that changes. */
 export const createKeyedMirror = (
   onChange: (change: KeyedChange) => void,
   options: KeyedMirrorOptions = {},
@@ -72,7 +73,7 @@
   let generation = -1;
   let end = -1;
 
-  const isOld = (key: string, offset: number): boolean => {
+  const isStale = (key: string, offset: number): boolean => {
     const held = items.get(key)?.offset ?? dropped.get(key);
     return held !== undefined && offset <= held;
   };
@@ -80,47 +81,47 @@
   const drop = (key: string, offset: number): void => {
     dropped.delete(key);
     dropped.set(key, offset);
-    if (dropped.size > DROPPED_KEPT) dropped.delete(dropped.keys().next().value ?? key);
+    if (dropped.size > MAX_DROPPED_KEYS) dropped.delete(dropped.keys().next().value ?? key);
     if (items.delete(key)) onChange({ key, value: undefined });
   };
 
-  const hold = (item: KeyedItem): void => {
+  const setItem = (item: KeyedItem): void => {
     dropped.delete(item.key);
     items.set(item.key, item);
     onChange({ key: item.key, value: item.value });
   };
 
-  const take = ({ key, value, offset }: KeyedRecord): void => {
+  const applyRecord = ({ key, value, offset }: KeyedRecord): void => {
     const held = items.get(key);
     if (held && value && isNewer(held.value, value)) {
-      // Filed under the offset of the older value, so that peers that ask from there on learn the newer one.
+      // Takes the offset of the older value, so that peers that fetch from that offset on get the newer one.
       items.set(key, { ...held, offset: Math.max(held.offset, offset) });
       return;
     }
     if (held && value && isNewer(value, held.value)) {
-      hold({ key, value, offset: Math.max(held.offset, offset) });
+      setItem({ key, value, offset: Math.max(held.offset, offset) });
       return;
     }
-    if (isOld(key, offset)) return;
+    if (isStale(key, offset)) return;
     if (value === undefined) drop(key, offset);
-    else hold({ key, value, offset });
+    else setItem({ key, value, offset });
   };
 
-  /** Nothing that is held can be placed among the offsets of a restored log, which gives them out again. */
-  const forgetOffsets = (): void => {
+  /** A restored log assigns offsets anew, so those held so far can't be compared with its own. */
+  const markAllUnconfirmed = (): void => {
     dropped.clear();
     items.forEach((item) => {
       items.set(item.key, { ...item, offset: UNCONFIRMED_OFFSET });
     });
   };
 
-  const takeAll = (all: readonly KeyedItem[]): void => {
-    // In the order of writing: what was listed last at an address is there now.
-    [...all].sort((a, b) => a.offset - b.offset).forEach(take);
+  const applyItems = (allItems: readonly KeyedItem[]): void => {
+    // In the order of writing: of several keys listed at one address, the one written last is there now.
+    [...allItems].sort((a, b) => a.offset - b.offset).forEach(applyRecord);
   };
 
-  const dropMissing = (all: readonly KeyedItem[], newEnd: number): void => {
-    const present = new Set(all.map(({ key }) => key));
+  const dropMissing = (allItems: readonly KeyedItem[], newEnd: number): void => {
+    const present = new Set(allItems.map(({ key }) => key));
     [...items.values()]
       .filter(({ offset }) => offset !== UNCONFIRMED_OFFSET && offset < newEnd)
       .filter(({ key }) => !present.has(key))
@@ -134,21 +135,21 @@
     generation: () => generation,
     end: () => end,
     items: () => [...items.values()],
-    apply: (records, newEnd, of = FIRST_GENERATION) => {
-      if (generation >= 0 && of !== generation) return;
-      generation = of;
-      records.forEach(take);
+    apply: (records, newEnd, ofGeneration = FIRST_GENERATION) => {
+      if (generation >= 0 && ofGeneration !== generation) return;
+      generation = ofGeneration;
+      records.forEach(applyRecord);
       end = Math.max(end, newEnd);
     },
-    replace: (all, newEnd, of = FIRST_GENERATION) => {
-      // A store that answers with a picture from before what this node has seen would bring
-      // servers back that have left, and take the newest intent away.
-      if (of < generation || (of === generation && newEnd < end)) return false;
-      const isRestored = generation >= 0 && of > generation;
-      generation = of;
-      if (isRestored) forgetOffsets();
-      takeAll(all);
-      if (!isRestored) dropMissing(all, newEnd);
+    replace: (allItems, newEnd, ofGeneration = FIRST_GENERATION) => {
+      // A lagging store may return a snapshot older than what this node has seen. Applying it
+      // would bring back servers that have left and undo the latest intent.
+      if (ofGeneration < generation || (ofGeneration === generation && newEnd < end)) return false;
+      const isRestored = generation >= 0 && ofGeneration > generation;
+      generation = ofGeneration;
+      if (isRestored) markAllUnconfirmed();
+      applyItems(allItems);
+      if (!isRestored) dropMissing(allItems, newEnd);
       end = newEnd;
       return true;
     },
--- a/packages/mirror/src/roster.ts
+++ b/packages/mirror/src/node-record.ts
@@ -1,22 +1,22 @@
-/** Nodes of this system as they have published themselves in the platform's log. */
+/** Records that nodes publish about themselves in the platform's log. */
 
 import { decodeJson, encodeJson, isObject } from '@plantaindrum/common';
 
-/** What a node publishes of itself. */
+/** A node's record in the log. */
 export interface NodeRecord {
   node: string;
   /** Random for each start of the process. */
   instance: string;
   role: 'entry' | 'agent';
   dataCentre: string;
-  /** Where it takes links. */
+  /** Address on which the node accepts links. */
   host: string;
   port: number;
   /** An agent's expert group and the engine beside it. */
   group?: RankPlace | undefined;
 }
 
-/** Where an agent stands in an expert group. */
+/** An agent's rank in an expert group, and the address of its engine. */
 export interface RankPlace {
   name: string;
   rank: number;
@@ -24,32 +24,32 @@
   enginePort: number;
 }
 
-/** A node's record as the bytes that are kept in the log. */
+/** Encodes a node's record for the log. */
 export const encodeNode = (record: NodeRecord): Uint8Array => encodeJson(record);
 
-const decodePlace = (value: unknown): RankPlace | undefined => {
+const decodeRank = (value: unknown): RankPlace | undefined => {
   if (!isObject(value)) return undefined;
   const { name, rank, engineHost, enginePort } = value;
-  const isSound =
+  const isValid =
     typeof name === 'string' &&
     typeof rank === 'number' &&
     typeof engineHost === 'string' &&
     typeof enginePort === 'number';
-  return isSound ? { name, rank, engineHost, enginePort } : undefined;
+  return isValid ? { name, rank, engineHost, enginePort } : undefined;
 };
 
-/** Reads a node's record; undefined when it isn't one. */
+/** Decodes a node's record; undefined if it is malformed. */
 export const decodeNode = (bytes: Uint8Array): NodeRecord | undefined => {
   const value = decodeJson(bytes);
   if (!isObject(value)) return undefined;
   const { node, instance, role, dataCentre, host, port } = value;
-  const isSound =
+  const isValid =
     typeof node === 'string' &&
     typeof instance === 'string' &&
     (role === 'entry' || role === 'agent') &&
     typeof dataCentre === 'string' &&
     typeof host === 'string' &&
     typeof port === 'number';
-  if (!isSound) return undefined;
-  return { node, instance, role, dataCentre, host, port, group: decodePlace(value.group) };
+  if (!isValid) return undefined;
+  return { node, instance, role, dataCentre, host, port, group: decodeRank(value.group) };
 };
--- a/packages/mirror/src/peer-push.ts
+++ b/packages/mirror/src/peer-push.ts
@@ -1,4 +1,4 @@
-/** Checks what peers pass on of the log before any code relies on its type. */
+/** Validates records that peers forward from the log. */
 
 import { isNumber, isObject } from '@plantaindrum/common';
 import type { KeyedRecord } from './keyed-mirror.js';
@@ -10,17 +10,17 @@
   typeof value.offset === 'number' &&
   (value.value === undefined || value.value === null || value.value instanceof Uint8Array);
 
-/** Records of a keyed topic; undefined when one of them isn't one. */
+/** Parses records of a keyed topic; undefined if any of them is malformed. */
 export const readRecordList = (value: unknown): KeyedRecord[] | undefined =>
   Array.isArray(value) && value.every(isRecord)
     ? value.map((record) => ({ ...record, value: record.value ?? undefined }))
     : undefined;
 
-/** What a peer passes on; undefined when it isn't that. */
+/** Parses a push from a peer; undefined if it is malformed. */
 export const readPush = (value: unknown): PeerPush | undefined => {
   if (!isObject(value)) return undefined;
   const { after, end, generation, records } = value;
   if (!isNumber(after) || !isNumber(end) || !isNumber(generation)) return undefined;
-  const read = readRecordList(records);
-  return read && { after, end, generation, records: read };
+  const parsed = readRecordList(records);
+  return parsed && { after, end, generation, records: parsed };
 };
--- a/packages/mirror/src/publisher.ts
+++ b/packages/mirror/src/publisher.ts
@@ -1,13 +1,13 @@
-/** Publishes this node in the platform's log, so that the others find it. */
+/** Publishes this node's record in the platform's log, so that other nodes find it. */
 
 import type { Clock, EventLog } from '@plantaindrum/common';
 import { createPause } from '@plantaindrum/common';
 import { UNCONFIRMED_OFFSET } from './keyed-mirror.js';
 import type { KeyedMirror } from './keyed-mirror.js';
-import { encodeNode } from './roster.js';
-import type { NodeRecord } from './roster.js';
+import { encodeNode } from './node-record.js';
+import type { NodeRecord } from './node-record.js';
 
-/** Appends a node's record under its name; false when that is not known to have worked. */
+/** Appends a node's record under its name; false unless the log has acknowledged it. */
 export type PublishNode = (record: NodeRecord) => Promise<boolean>;
 
 /** Options of `createPublisher`. */
@@ -20,16 +20,16 @@
 
 /** Keeps a node's record in the platform's log. */
 export interface Publisher {
-  /** Publishes again unless the mirror shows the record: a log that was restored from an older copy may lack it. */
+  /** Publishes again if the mirror lacks the record, as after the log was restored from an older copy. */
   confirm(mirror: KeyedMirror): void;
   close(): void;
 }
 
-/** Waits between tries, in ms, doubled each time: the store may be down for long. */
-const FIRST_MS = 500;
-const MAX_MS = 4_000;
+/** First delay between attempts, in ms, and its limit. It doubles each time, as the store may be down for long. */
+const RETRY_DELAY_MS = 500;
+const MAX_RETRY_DELAY_MS = 4_000;
 
-/** Starts to publish; a record that lands twice is the same record. */
+/** Starts publishing. Retrying is safe: appending the same record twice has no further effect. */
 export const createPublisher = (options: PublisherOptions): Publisher => {
   const { record, publish, clock, log } = options;
   const bytes = encodeNode(record);
@@ -37,19 +37,19 @@
   let stopped = false;
   let isPublishing = false;
 
-  const run = async (): Promise<void> => {
+  const publishUntilAcknowledged = async (): Promise<void> => {
     if (isPublishing) return;
     isPublishing = true;
-    for (let waitMs = FIRST_MS; !stopped && !(await publish(record));) {
-      log.event('publish-failed', { node: record.node, nextMs: waitMs });
-      await pause.wait(waitMs);
-      waitMs = Math.min(MAX_MS, waitMs * 2);
+    for (let retryDelayMs = RETRY_DELAY_MS; !stopped && !(await publish(record));) {
+      log.event('publish-failed', { node: record.node, nextMs: retryDelayMs });
+      await pause.wait(retryDelayMs);
+      retryDelayMs = Math.min(MAX_RETRY_DELAY_MS, retryDelayMs * 2);
     }
     isPublishing = false;
   };
-  void run();
+  void publishUntilAcknowledged();
 
-  const isShown = (mirror: KeyedMirror): boolean =>
+  const isPublished = (mirror: KeyedMirror): boolean =>
     mirror
       .items()
       .filter(({ offset }) => offset !== UNCONFIRMED_OFFSET)
@@ -57,9 +57,9 @@
 
   return {
     confirm: (mirror) => {
-      if (stopped || isShown(mirror)) return;
+      if (stopped || isPublished(mirror)) return;
       log.event('publish-again', { node: record.node, generation: mirror.generation() });
-      void run();
+      void publishUntilAcknowledged();
     },
     close: () => {
       stopped = true;
--- a/packages/mirror/src/picture.ts
+++ b/packages/mirror/src/topic-snapshot.ts
@@ -1,39 +1,39 @@
-/** Reads all newest values of a keyed topic, page by page. */
+/** Reads the latest values of all keys of a topic, page by page. */
 
 import type { KeyedItem } from './keyed-mirror.js';
 import type { KeyedTopic, LogFailure } from './topic.js';
 
-/** All newest values of a topic. */
-export interface Picture {
+/** The latest values of all keys of a topic, as of `end`. */
+export interface TopicSnapshot {
   items: KeyedItem[];
   end: number;
   generation: number;
 }
 
-/** Outcome of reading a picture. */
-export type PictureOutcome =
-  | { outcome: 'picture'; picture: Picture }
-  /** The log was restored between two pages: together they show neither copy. */
+/** Outcome of reading a snapshot. */
+export type SnapshotOutcome =
+  | { outcome: 'picture'; snapshot: TopicSnapshot }
+  /** The log was restored between two pages, so they don't form a consistent snapshot. */
   | { outcome: 'restored' }
   | { outcome: 'failed'; why: LogFailure };
 
-/** Pages that are read at the most: a bound on a store that never ends. */
+/** Bounds the read if a faulty store always reports more pages. */
 const MAX_PAGES = 1_000;
 
-/** Reads a picture as of the end that the first page tells. */
-export const readPicture = async (topic: KeyedTopic): Promise<PictureOutcome> => {
+/** Reads a snapshot as of the end that the first page reports. */
+export const readSnapshot = async (topic: KeyedTopic): Promise<SnapshotOutcome> => {
   const first = await topic.newest(undefined);
   if (first.outcome === 'failed') return first;
   const { end, generation } = first;
   const items = [...first.items];
   let page = first;
   for (let pages = 1; page.hasMore && page.items.length > 0 && pages < MAX_PAGES; pages += 1) {
-    // What changes between two pages is read again from the first one's end.
+    // Changes between two pages aren't missed: the log is read next from the first page's end.
     const next = await topic.newest(items.at(-1)?.key);
     if (next.outcome === 'failed') return next;
     if (next.generation !== generation) return { outcome: 'restored' };
     items.push(...next.items);
     page = next;
   }
-  return { outcome: 'picture', picture: { items, end, generation } };
+  return { outcome: 'picture', snapshot: { items, end, generation } };
 };
--- a/packages/mirror/src/topic.ts
+++ b/packages/mirror/src/topic.ts
@@ -1,21 +1,21 @@
-/** A keyed topic of the platform's log, and what peers tell each other of it. */
+/** A keyed topic of the platform's log, and the messages with which peers share its records. */
 
 import type { KeyedItem, KeyedRecord } from './keyed-mirror.js';
 
-/** Why a call to the platform's log brought nothing. */
+/** Why a call to the platform's log failed. */
 export type LogFailure = 'refused' | 'no-answer' | 'malformed';
 
 /**
- * Outcome of reading records. The generation of the log rises each time that it is restored from an older copy;
+ * Outcome of reading records. The generation of the log rises each time the log is restored from an older copy;
  * offsets of different generations can't be compared.
  */
 export type LogReadOutcome =
   | { outcome: 'records'; records: KeyedRecord[]; end: number; generation: number }
-  /** The log doesn't have the records asked for: it has deleted them, or doesn't reach so far. */
+  /** The log doesn't hold the requested offset: the records there were deleted, or the log ends before it. */
   | { outcome: 'expired'; generation: number }
   | { outcome: 'failed'; why: LogFailure };
 
-/** Outcome of reading one page of the newest values. */
+/** Outcome of reading one page of the latest values. */
 export type LogNewestOutcome =
   | { outcome: 'items'; items: KeyedItem[]; hasMore: boolean; end: number; generation: number }
   | { outcome: 'failed'; why: LogFailure };
@@ -23,19 +23,19 @@
 /** A keyed topic of the platform's log. */
 export interface KeyedTopic {
   name: string;
-  /** Records from an offset on; waits up to `waitMs` for the first. */
+  /** Reads records from an offset on; waits up to `waitMs` for the first. */
   read(from: number, waitMs: number): Promise<LogReadOutcome>;
-  /** Newest values of keys after `after`. */
+  /** Reads a page of latest values, of the keys that follow the key `after`. */
   newest(after: string | undefined): Promise<LogNewestOutcome>;
 }
 
-/** A place in a topic: an offset, and the generation of the log that it is of. */
+/** A position in a topic: an offset, and the generation of the log that it belongs to. */
 export interface TopicPlace {
   generation: number;
   offset: number;
 }
 
-/** What a peer's mirror holds beyond a place, or all that it holds where that place is of an earlier generation. */
+/** What a peer's mirror holds after a position, or all that it holds if that position is of an earlier generation. */
 export interface PeerRecords {
   records: KeyedRecord[];
   end: number;
@@ -44,17 +44,17 @@
   ageMs: number;
 }
 
-/** What a peer passes on when the log has just answered it. */
+/** What a peer forwards after each of its reads of the log. */
 export interface PeerPush {
-  /** The peer's end before that answer; a mirror that ends earlier has a gap. `WHOLE` for all that it holds. */
+  /** The peer's end before that read; a mirror that ends earlier has a gap. `WHOLE` if `records` are the full topic. */
   after: number;
   records: readonly KeyedRecord[];
   end: number;
   generation: number;
 }
 
-/** Stands for the place before all records of a topic. */
+/** Stands for the offset before all records of a topic. */
 export const WHOLE = -1;
 
-/** Records that a peer holds beyond a place; undefined when no peer answered. */
+/** Fetches the records that a peer holds after a position; undefined if no peer answered. */
 export type AskPeers = (topic: string, after: TopicPlace) => Promise<PeerRecords | undefined>;
--- a/packages/mirror/test/follow.test.ts
+++ b/packages/mirror/test/follow.test.ts
@@ -9,13 +9,13 @@
   value: Buffer.from(value),
 });
 
-/** Lets what has been resolved go on, without a timer of the clock. */
-const settle = (): Promise<void> =>
+/** Runs the continuations of resolved promises, without advancing the clock. */
+const flushPromises = (): Promise<void> =>
   new Promise((resolve) => {
     setImmediate(resolve);
   });
 
-/** A log that tests fill, cut off and shorten. */
+/** A log that tests fill, truncate, restore from a copy and make unavailable. */
 const createFakeLog = () => {
   const records: KeyedRecord[] = [];
   let first = 0;
@@ -51,10 +51,10 @@
     set: (next: typeof mode) => {
       mode = next;
     },
-    forget: () => {
+    dropHistory: () => {
       first = records.length;
     },
-    /** Comes back from a copy that holds this many records. */
+    /** Restores the log from a copy with this many records. */
     restore: (kept: number) => {
       records.splice(kept);
       first = Math.min(first, kept);
@@ -88,13 +88,13 @@
     const item = mirror.items().find(({ key }) => key === 'k');
     return item && Buffer.from(item.value).toString();
   };
-  // The first read begins with the follower; its answer is there after a turn of the event loop.
-  await settle();
+  // The first read starts with the follower and is answered one turn of the event loop later.
+  await flushPromises();
   return { clock, log, mirror, follower, value };
 };
 
-/** A follower whose reads wait at the log until the test answers them. */
-const startWaiting = async (end: number) => {
+/** A follower whose reads are pending until the test answers them. */
+const startWithBlockedReads = async (end: number) => {
   let answer: (outcome: LogReadOutcome) => void = () => {};
   const from: number[] = [];
   const topic: KeyedTopic = {
@@ -112,12 +112,12 @@
   const common = { clock, metrics: createMetrics(), log: silentEventLog };
   const reading = { waitMs: 10_000, pauseMs: 100, askPeers: async () => undefined };
   const follower = followTopic({ topic, mirror, ...reading, ...common });
-  await settle();
+  await flushPromises();
   return { clock, mirror, follower, from, answer: (outcome: LogReadOutcome) => answer(outcome) };
 };
 
 describe('following a topic', () => {
-  it('reads the newest values first and then what is added', async () => {
+  it('reads a snapshot first and then appended records', async () => {
     const { clock, log, follower, value } = await start();
     log.add('k', '1');
     await clock.advance(150);
@@ -129,9 +129,9 @@
     follower.close();
   });
 
-  // An operator's change would be missed for good: the records between the mirror and the log's
-  // first one are gone. The newest values are read again.
-  it('reads the newest values again when history is gone', async () => {
+  // The log deletes the records between the mirror's end and its own first record. Without a new
+  // snapshot the changes in them, such as an operator's, would be missed for good.
+  it('reads a new snapshot when the log has deleted records that it needs', async () => {
     const { clock, log, follower, value } = await start();
     log.add('k', '1');
     await clock.advance(150);
@@ -139,16 +139,16 @@
     await clock.advance(300);
     log.add('x', '1');
     log.add('k', '2');
-    log.forget();
+    log.dropHistory();
     log.set('up');
     await clock.advance(2_000);
     expect(value()).to.equal('2');
     follower.close();
   });
 
-  // The store refuses for eight seconds, and each of 76 nodes asks it again and again for a list that seldom
-  // changes; each refusal is paid for. One that was never read is still asked for often.
-  it('asks a log that refuses seldom for what it knows already', async () => {
+  // Refused calls are billed. With the store refusing for 8 s, each of 76 nodes kept retrying to read a list that
+  // seldom changes. A topic that has never been read is still retried often.
+  it('backs off further from a log that refuses once the topic has been read', async () => {
     const { clock, log, follower, value } = await start(undefined, undefined, 4_000);
     log.add('k', '1');
     await clock.advance(150);
@@ -163,10 +163,10 @@
     follower.close();
   });
 
-  // A node stops while its read waits at the log, and the answer comes afterwards: it dialled the node that the
-  // answer named, for ever.
-  it('takes nothing after it was closed', async () => {
-    const { clock, mirror, follower, answer } = await startWaiting(0);
+  // A long poll is answered after the node has stopped. The stopped node applied the answer and dialled the node
+  // named in it for ever.
+  it('applies no answer after it was closed', async () => {
+    const { clock, mirror, follower, answer } = await startWithBlockedReads(0);
     await clock.advance(200);
     follower.close();
     answer({ outcome: 'records', records: [record('k', 0, '1')], end: 1, generation: 0 });
@@ -174,9 +174,9 @@
     expect(mirror.items()).to.deep.equal([]);
   });
 
-  // The store turns this node away and serves the others. A key that was taken away would still be
-  // served here; a peer that hears the store passes the change on.
-  it('learns from a peer while the log refuses', async () => {
+  // The store refuses this node alone. A revoked API key would still be served here; the node gets
+  // the change from a peer that reaches the store.
+  it('fetches from a peer while the log refuses', async () => {
     let peer: PeerRecords | undefined;
     const { clock, log, follower, value } = await start(() => peer);
     log.add('k', '1');
@@ -191,8 +191,8 @@
     follower.close();
   });
 
-  // The same when the store accepts the call and never answers.
-  it('learns from a peer while the log is silent', async () => {
+  // As above, but the store accepts the call and never answers.
+  it('fetches from a peer while the log does not answer', async () => {
     const peer: PeerRecords = { records: [record('k', 1, '2')], end: 2, generation: 0, ageMs: 0 };
     const { clock, log, follower, value } = await start(() => peer);
     log.add('k', '1');
@@ -203,9 +203,8 @@
     follower.close();
   });
 
-  // A peer that is cut off as well confirms nothing, or two of them would keep each other in the
-  // belief that what they hold is current.
-  it('does not grow younger by a peer that is as old', async () => {
+  // Two nodes that are both cut off from the log must not confirm each other's mirrors as current.
+  it('is not confirmed by a peer whose own mirror is unconfirmed', async () => {
     const peer: PeerRecords = { records: [], end: 1, generation: 0, ageMs: 10_000 };
     const { clock, log, follower } = await start(() => peer);
     log.add('k', '1');
@@ -216,7 +215,7 @@
     follower.close();
   });
 
-  it('asks a log that refuses less and less often', async () => {
+  it('backs off from a log that refuses', async () => {
     const { clock, log, follower } = await start();
     log.set('refusing');
     await clock.advance(10_000);
@@ -225,8 +224,8 @@
   });
 });
 
-describe('leaving the reading to a peer', () => {
-  const startLeft = async (peer?: () => PeerRecords | undefined) => {
+describe('delegating reads to a peer', () => {
+  const startDelegated = async (peer?: () => PeerRecords | undefined) => {
     const started = await start(peer, () => true);
     started.log.add('k', '1');
     await started.clock.advance(250);
@@ -234,8 +233,8 @@
     return started;
   };
 
-  it('reads nothing while the peer passes on what it hears', async () => {
-    const { clock, log, mirror, follower } = await startLeft();
+  it('does not read the log while the peer pushes its answers', async () => {
+    const { clock, log, mirror, follower } = await startDelegated();
     follower.takePush({ after: 1, records: [], end: 1, generation: 0 });
     const reads = log.reads();
     for (let n = 2; n < 12; n += 1) {
@@ -253,10 +252,10 @@
     follower.close();
   });
 
-  // The peer freezes or loses the store, and its links stay open for a while. A change of the
-  // operators' would not be heard; each node reads the log itself again.
-  it('reads again when the peer says nothing more', async () => {
-    const { clock, log, mirror, follower } = await startLeft();
+  // The peer freezes or loses the store while its links stay open. Unless each node reads the log
+  // itself again, operators' changes don't arrive.
+  it('reads the log again when the peer stops pushing', async () => {
+    const { clock, log, mirror, follower } = await startDelegated();
     follower.takePush({ after: 1, records: [], end: 1, generation: 0 });
     await clock.advance(200);
     log.add('k', '2');
@@ -265,11 +264,11 @@
     follower.close();
   });
 
-  // A node that was cut off for a moment missed what was passed on. Taking the next piece would
-  // leave a gap for good.
-  it('asks for what it missed', async () => {
+  // A node that was cut off for a moment missed a push. Applying the next one would leave a gap for
+  // good.
+  it('fetches the records of a push that it missed', async () => {
     const missed = { records: [record('k', 4, '5')], end: 5, generation: 0, ageMs: 0 };
-    const { clock, mirror, follower } = await startLeft(() => missed);
+    const { clock, mirror, follower } = await startDelegated(() => missed);
     follower.takePush({ after: 4, records: [record('x', 4, '1')], end: 5, generation: 0 });
     await clock.advance(10);
     expect(mirror.items().map(({ key }) => key)).to.deep.equal(['k']);
@@ -278,7 +277,7 @@
   });
 
   it('is not confirmed by a peer that is behind', async () => {
-    const { clock, follower } = await startLeft();
+    const { clock, follower } = await startDelegated();
     await clock.advance(60);
     const age = follower.age();
     follower.takePush({ after: 0, records: [], end: 0, generation: 0 });
@@ -299,9 +298,9 @@
     return started;
   };
 
-  // The records since the copy are gone, and the next ones get their offsets. Compared by offset alone they would be
-  // taken for those that are held already.
-  it('takes the records that get offsets given out before', async () => {
+  // The records since the copy are lost, and new records get the same offsets. Compared by offset alone they would be
+  // skipped as already held.
+  it('applies records at offsets that were used before the restore', async () => {
     const { clock, log, mirror, follower, value } = await startRestored();
     log.restore(1);
     log.add('k', '5');
@@ -314,9 +313,9 @@
     follower.close();
   });
 
-  // The restored log has grown beyond what is held by the time that it is read: nothing of it is refused, and the
-  // records in between would be missed.
-  it('reads all values of a log that has grown past what it held', async () => {
+  // The restored log has grown past the mirror's end by the time of the next read. The read succeeds, and the records
+  // between the copy's end and the mirror's end would be missed.
+  it("reads a snapshot of a restored log that has grown past the mirror's end", async () => {
     const { clock, log, follower, mirror } = await startRestored();
     log.restore(1);
     log.add('x', '1');
@@ -326,8 +325,8 @@
     follower.close();
   });
 
-  // A restored copy that is read again and again is a storm of calls, each of them paid for.
-  it('reads it once', async () => {
+  // Each call to the log is billed, so a snapshot of the restored log must not be read again and again.
+  it('reads the snapshot of the restored log once', async () => {
     const { clock, log, follower } = await startRestored();
     log.restore(1);
     const before = log.reads();
@@ -336,7 +335,7 @@
     follower.close();
   });
 
-  it('moves on with a peer that has moved on, and leaves out the words of one that has not', async () => {
+  it('follows a peer to the restored log and ignores pushes of the earlier generation', async () => {
     const { follower, mirror, value } = await startRestored(undefined, () => true);
     follower.takePush({ after: WHOLE, records: [record('k', 1, '5')], end: 2, generation: 1 });
     expect([value(), mirror.generation(), mirror.end()]).to.deep.equal(['5', 1, 2]);
@@ -345,23 +344,23 @@
     follower.close();
   });
 
-  // A read waits at the log for what comes after offset 4; a peer moves this node on to the restored log, which ends at 2;
-  // the log grows past 4 and answers the read. What lies between 2 and 4 would be missed for good.
-  it('takes no answer to a read that began before it moved on', async () => {
-    const { clock, mirror, follower, from, answer } = await startWaiting(4);
+  // A read from offset 4 is pending when a peer's push switches this node to the restored log, which ends at 2. The log
+  // grows past 4 and answers the read. Applying the answer would miss the records between 2 and 4 for good.
+  it('ignores the answer to a read that began before it switched to the restored log', async () => {
+    const { clock, mirror, follower, from, answer } = await startWithBlockedReads(4);
     await clock.advance(150);
     follower.takePush({ after: WHOLE, records: [record('k', 1, '5')], end: 2, generation: 1 });
     answer({ outcome: 'records', records: [record('x', 4, '1')], end: 5, generation: 1 });
-    await settle();
+    await flushPromises();
     expect(mirror.end()).to.equal(2);
     await clock.advance(150);
     expect(from).to.deep.equal([4, 2]);
     follower.close();
   });
 
-  // A node that starts just after the restore hears of an upstream from a peer that waits for it to write again. It never
-  // does: nothing in the log would ever take it off the list of the node that started.
-  it('drops what only a peer still held and nobody wrote again', async () => {
+  // A node that starts just after a restore gets an upstream's record from a peer that holds it as unconfirmed. The
+  // upstream never rewrites it, and no record in the log would ever delete it at the new node.
+  it('drops unconfirmed keys from a peer that no writer has rewritten', async () => {
     const clock = createManualClock();
     const log = createFakeLog();
     log.set('refusing');
@@ -391,14 +390,15 @@
     follower.close();
   });
 
-  // Its first word after the restore was lost with a link. The next one starts from a place that isn't known here.
-  it('reads the log itself when it has missed that a peer moved on', async () => {
+  // The peer's first push after the restore was lost with a link. The next push starts at an offset that this node
+  // hasn't reached.
+  it("reads a snapshot when it has missed a peer's first push of a later generation", async () => {
     const { log, follower, mirror, value } = await startRestored(undefined, () => true);
     follower.takePush({ after: 4, records: [], end: 4, generation: 0 });
     log.restore(1);
     ['5', '6'].forEach((each) => log.add('k', each));
     follower.takePush({ after: 2, records: [record('k', 2, '6')], end: 3, generation: 1 });
-    await settle();
+    await flushPromises();
     expect([value(), mirror.generation(), mirror.end()]).to.deep.equal(['6', 1, 3]);
     follower.close();
   });
--- a/packages/mirror/test/keyed-mirror.test.ts
+++ b/packages/mirror/test/keyed-mirror.test.ts
@@ -25,7 +25,7 @@
 };
 
 describe('keyed mirror', () => {
-  it('holds the newest value of each key and drops keys without one', () => {
+  it('holds the latest value of each key and deletes keys without one', () => {
     const { mirror, changes } = create();
     mirror.apply([record('a', 0, '1'), record('b', 1, '2'), record('a', 2, '3')], 3);
     mirror.apply([record('b', 3)], 4);
@@ -34,9 +34,9 @@
     expect(mirror.end()).to.equal(4);
   });
 
-  // Callers would be sent to upstreams that have left. The store answers with a picture from
-  // seconds ago; it ends before what this mirror has seen, so nothing of it is taken.
-  it('leaves out a whole picture that is older than itself', () => {
+  // A lagging store returns a snapshot from seconds ago, which ends before what this mirror has
+  // seen. Applying it would send callers to upstreams that have left.
+  it('ignores a snapshot that is older than the mirror', () => {
     const { mirror, changes } = create();
     mirror.apply([record('a', 0, 'old'), record('a', 1, 'new')], 2);
     changes.length = 0;
@@ -45,16 +45,16 @@
     expect(changes).to.deep.equal([]);
   });
 
-  // Pages of the newest values are read one after the other, so a key written in between may stand
-  // in a later page with an offset beyond the picture's end. It must not be taken for gone.
-  it('keeps a key that is newer than the picture that lacks it', () => {
+  // A snapshot is as of the end that its first page reports. A key written while the pages are read
+  // has an offset beyond that end; that the snapshot lacks it doesn't mean that it was deleted.
+  it('keeps a key that is newer than the snapshot that lacks it', () => {
     const { mirror } = create();
     mirror.apply([record('a', 0, '1'), record('b', 5, '2')], 4);
     mirror.replace([{ key: 'a', offset: 0, value: bytes('1') }], 5);
     expect(held(mirror)).to.deep.equal({ a: '1', b: '2' });
   });
 
-  it('drops a key that a newer picture lacks', () => {
+  it('deletes a key that a newer snapshot lacks', () => {
     const { mirror, changes } = create();
     mirror.apply([record('a', 0, '1'), record('b', 1, '2')], 2);
     mirror.replace([{ key: 'a', offset: 0, value: bytes('1') }], 9);
@@ -62,7 +62,7 @@
     expect(changes.at(-1)).to.equal('b=gone');
   });
 
-  it('tells a peer what it misses, dropped keys too', () => {
+  it('gives a peer the changes that it lacks, including deleted keys', () => {
     const { mirror } = create();
     mirror.apply([record('a', 0, '1'), record('b', 1, '2'), record('a', 2)], 3);
     const { mirror: peer } = create();
@@ -72,9 +72,9 @@
     expect(peer.end()).to.equal(3);
   });
 
-  // Whatever way records reach a mirror, in batches, twice, or from peers that lag, it ends as the
-  // log says, and no key ever goes back to an older record.
-  it('ends with the newest record of each key in any order of batches', () => {
+  // Records reach a mirror in batches, twice, or from peers that lag. It ends up with the state of
+  // the log all the same: no key goes back to an older record.
+  it('ends with the latest record of each key in any order of batches', () => {
     const keys = fc.constantFrom('a', 'b', 'c');
     const log = fc.array(
       fc.tuple(keys, fc.option(fc.string({ minLength: 1 }), { nil: undefined })),
@@ -99,8 +99,8 @@
     );
   });
 
-  // The log was restored from an older copy: what it lacks has not been dropped, its writers write it again.
-  it('keeps what a restored log lacks until it is told that nobody wrote it again', () => {
+  // A log that was restored from an older copy lacks keys that nobody deleted; their writers rewrite them.
+  it('keeps keys that a restored log lacks until unconfirmed keys are dropped', () => {
     const { mirror, changes } = create();
     mirror.apply([record('a', 0, '1'), record('b', 1, '2'), record('c', 2, '3')], 3);
     mirror.replace([{ key: 'a', offset: 0, value: bytes('1') }], 1, 1);
@@ -112,7 +112,7 @@
     expect(changes.at(-1)).to.equal('c=gone');
   });
 
-  it('leaves out records and pictures of an earlier generation', () => {
+  it('ignores records and snapshots of an earlier generation', () => {
     const { mirror } = create();
     mirror.replace([{ key: 'a', offset: 0, value: bytes('1') }], 1, 1);
     mirror.apply([record('a', 7, 'old')], 8, 0);
@@ -120,8 +120,8 @@
     expect(held(mirror)).to.deep.equal({ a: '1' });
   });
 
-  // A restored log hands an older version of a value out; a node that starts then learns the newer one from a peer.
-  it('holds and passes on the newer value where the content tells', () => {
+  // A restored log holds an older version of a value. A node that starts then gets the newer one from a peer.
+  it('keeps and hands over the newer value where content orders values', () => {
     const isNewer = (value: Uint8Array, than: Uint8Array): boolean =>
       Number(text(value)) > Number(text(than));
     const mirror = createKeyedMirror(() => {}, { isNewer });
