--- a/packages/intent/src/core/data-centre/stopping.ts
+++ b/packages/intent/src/core/data-centre/stopping.ts
@@ -1,34 +1,35 @@
-/** What the stop and the return of a data centre mean for one node. */
+/** How a node behaves while a data centre is stopped and when it returns. */
 
 import type { Clock, Random } from '@plantaindrum/common';
 import type { IntentDocument } from '../../types.js';
 
-/** Whether operators have stopped a data centre; one that they never named serves. */
+/** Whether operators have stopped a data centre; one missing from the document serves. */
 export const isStopped = (document: IntentDocument, dataCentre: string): boolean =>
   document.dataCentres[dataCentre]?.state === 'stopped';
 
 /**
- * What a node does now: `serve`; `finish` takes nothing new and ends what it holds; `serve-last` is
- * an agent that still takes the last work of its own data centre's entries; `idle` holds nothing.
+ * What a node does: `serve` takes all work; `finish` takes no new work and completes its requests in
+ * flight; `serve-last`, of agents, takes work only from the entries of its own data centre, which
+ * are still draining; `idle` has no work.
  */
 export type NodeDuty = 'serve' | 'finish' | 'serve-last' | 'idle';
 
-/** What a node's duty depends on. */
+/** Inputs of `nodeDuty`. */
 export interface DutyOptions {
   role: 'entry' | 'agent';
   dataCentre: string;
   document: IntentDocument;
-  /** Requests that this node holds. */
+  /** Requests in flight at this node. */
   inFlight: number;
-  /** This VM alone is leaving. */
+  /** Whether this VM alone is leaving. */
   leaving?: boolean;
-  /** For agents: links of entries of the same data centre that have not drained yet. */
+  /** For agents: number of linked entries of the same data centre that haven't drained yet. */
   busyEntries?: number;
 }
 
 /**
- * The duty of a node. Entries go first: callers' requests pass through them, and until the last has
- * ended the agents beside the upstreams are still needed. So agents stop last.
+ * The duty of a node. Entries drain first and agents stop last: callers' requests pass through an
+ * entry, and need the agent beside their upstream until they have ended.
  */
 export const nodeDuty = (options: DutyOptions): NodeDuty => {
   const { role, dataCentre, document, inFlight, leaving = false, busyEntries = 0 } = options;
@@ -39,7 +40,7 @@
 
 /**
  * Whether an entry may send new work to an upstream. Upstreams of a stopping data centre take work
- * only from its own entries, which serve on until the balancer in front has noticed the stop.
+ * only from its own entries, which keep serving until the balancer in front has noticed the stop.
  */
 export const mayDispatch = (
   document: IntentDocument,
@@ -47,30 +48,30 @@
   upstreamDataCentre: string,
 ): boolean => !isStopped(document, upstreamDataCentre) || entryDataCentre === upstreamDataCentre;
 
-/** Lets a data centre that was stopped have its share back little by little. */
+/** Ramps up the share of work of a data centre that returns after a stop. */
 export interface ReturnRamp {
-  /** Takes the document after each change. */
+  /** Applies the intent document; to be called after each change. */
   follow(document: IntentDocument): void;
-  /** Share of its work that a data centre gets now, 0 to 1. */
+  /** Share of its usual work that a data centre gets at present, 0 to 1. */
   share(dataCentre: string): number;
-  /** Whether this request may go there, drawn by the share. */
+  /** Whether a request may go there, decided at random with the share as probability. */
   admits(dataCentre: string): boolean;
 }
 
-/** Times of a return. */
+/** Options of `createReturnRamp`. */
 export interface ReturnRampOptions {
   clock: Clock;
   random: Random;
-  /** Time until a returning data centre has its whole share, in milliseconds. */
+  /** Time until a returning data centre has its full share, in milliseconds. */
   rampMs?: number;
 }
 
 const RAMP_MS = 30_000;
-const FIRST_SHARE = 0.1;
+const INITIAL_SHARE = 0.1;
 
 /**
- * Creates the ramp of one entry. Caches of a data centre that comes back are cold and its upstreams
- * slow at first; its whole share at once would miss targets that the others can still meet.
+ * Creates the ramp of one entry. The caches of a returning data centre are cold and its upstreams
+ * slow at first. With its full share at once, requests would miss targets that others can still meet.
  */
 export const createReturnRamp = (options: ReturnRampOptions): ReturnRamp => {
   const { clock, random, rampMs = RAMP_MS } = options;
@@ -88,11 +89,11 @@
 
   const share = (dataCentre: string): number => {
     if (stopped.has(dataCentre)) return 0;
-    const since = returnedAt.get(dataCentre);
-    if (since === undefined) return 1;
-    const passed = (clock.monotonic() - since) / rampMs;
-    if (passed >= 1) returnedAt.delete(dataCentre);
-    return Math.min(1, FIRST_SHARE + (1 - FIRST_SHARE) * passed);
+    const rampStartedAt = returnedAt.get(dataCentre);
+    if (rampStartedAt === undefined) return 1;
+    const progress = (clock.monotonic() - rampStartedAt) / rampMs;
+    if (progress >= 1) returnedAt.delete(dataCentre);
+    return Math.min(1, INITIAL_SHARE + (1 - INITIAL_SHARE) * progress);
   };
 
   return { follow, share, admits: (dataCentre) => random() < share(dataCentre) };
--- a/packages/intent/src/core/document/aggregate.ts
+++ b/packages/intent/src/core/document/aggregate.ts
@@ -18,32 +18,32 @@
 import { checkChanges, recordSchema, sections, splitKey } from './validation.js';
 import type { CheckedChanges } from './validation.js';
 
-/** What replay made of one change. */
+/** Outcome of replaying one change. */
 export type ReplayOutcome =
   | { outcome: 'accepted' }
   | { outcome: 'conflict'; conflicts: IntentConflict[] }
   | { outcome: 'invalid'; faults: string[] };
 
-/** A change that was replayed lately: its id has been used, and this became of it. */
+/** A recently replayed change with its outcome, by which a repeated id is recognised. */
 export type RecentChange = ReplayOutcome & {
   id: string;
   offset: number;
   author: string;
-  /** Hash of the changes, so that an id used for two different changes is noticed. */
+  /** Hash of the changes, to detect an id that is used for two different changes. */
   digest: string;
 };
 
-/** Everything that a reader needs in place of the records up to `asOf`. */
+/** The state that replaces the records up to `asOf`. */
 export interface IntentSnapshot {
-  /** Offset of the last record that the snapshot holds; -1 for none. */
+  /** Offset of the last record that the snapshot includes; -1 for none. */
   asOf: number;
   values: [IntentKey, unknown][];
-  /** Versions of all keys; those of removed keys stay, so that no old base fits again. */
+  /** Versions of all keys. Those of removed keys are kept, so that no old base becomes valid again. */
   versions: [IntentKey, number][];
   recent: RecentChange[];
 }
 
-/** What one record did. */
+/** Effect of replaying one record. */
 export type ReplayStep = ReplayOutcome['outcome'] | 'duplicate' | 'not-a-change';
 
 /** The intent as of one offset. */
@@ -52,17 +52,18 @@
   offset(): number;
   /** Replays the record at `offset`, which must be beyond the last one. */
   replay(offset: number, value: unknown): ReplayStep;
-  /** What replay would make of a submission now; nothing changes. */
+  /** The outcome that replay would give a submission now, without applying it. */
   preview(submission: Pick<IntentSubmission, 'changes'>): ReplayOutcome;
-  /** What became of the change with this id, if it was replayed lately. */
+  /** The change with this id and its outcome, if it was replayed recently. */
   lookup(id: string): RecentChange | undefined;
   view(): IntentView;
   snapshot(): IntentSnapshot;
 }
 
 /**
- * Ids are kept for this many offsets. Past that a repeated change still can't take effect twice,
- * because its bases are no longer the versions; it is only no longer told from a conflict.
+ * Ids are remembered for this many offsets. A change that is repeated later still can't take effect
+ * twice, as its bases are no longer the current versions; it is reported as a conflict instead of a
+ * duplicate.
  */
 export const RECENT_OFFSETS = 4_096;
 
@@ -106,7 +107,7 @@
         return { key, base, version, ...authorOf(version) };
       });
 
-  const judge = (changes: IntentSubmission['changes']): [ReplayOutcome, CheckedChanges] => {
+  const evaluate = (changes: IntentSubmission['changes']): [ReplayOutcome, CheckedChanges] => {
     const checked = checkChanges(changes, values);
     const conflicts = conflictsOf(changes);
     if (conflicts.length > 0) return [{ outcome: 'conflict', conflicts }, checked];
@@ -124,8 +125,8 @@
     versionRecord = undefined;
   };
 
-  /** The map is in order of offsets, so the walk ends at the first that is young enough. */
-  const forgetOld = (): void => {
+  /** The map is in order of offsets, so iteration stops at the first change to keep. */
+  const evictOldChanges = (): void => {
     for (const change of recent.values()) {
       if (change.offset > offset - RECENT_OFFSETS) return;
       recent.delete(change.id);
@@ -134,7 +135,7 @@
 
   const replayChange = ({ id, author, changes }: IntentRecord): ReplayStep => {
     if (recent.has(id)) return 'duplicate';
-    const [outcome, checked] = judge(changes);
+    const [outcome, checked] = evaluate(changes);
     if (outcome.outcome === 'accepted' && checked.valid) applyValues(checked.changed);
     recent.set(id, { ...outcome, id, offset, author, digest: digestOf(changes) });
     return outcome.outcome;
@@ -143,7 +144,7 @@
   const replay = (at: number, value: unknown): ReplayStep => {
     if (at <= offset) throw new Error(`record ${at} replayed after ${offset}`);
     offset = at;
-    forgetOld();
+    evictOldChanges();
     const record = recordSchema.safeParse(value);
     return record.success ? replayChange(record.data) : 'not-a-change';
   };
@@ -157,7 +158,7 @@
   return {
     offset: () => offset,
     replay,
-    preview: ({ changes }) => judge(changes)[0],
+    preview: ({ changes }) => evaluate(changes)[0],
     lookup: (id) => recent.get(id),
     view,
     snapshot: () => ({
--- a/packages/intent/src/core/document/checkpoint.ts
+++ b/packages/intent/src/core/document/checkpoint.ts
@@ -1,4 +1,4 @@
-/** Checkpoint records: the state as of an offset, for readers that retention left behind. */
+/** Checkpoint records: the state as of an offset, for readers that need records which retention has deleted. */
 
 import { z } from 'zod';
 import type { LogRecord } from '@plantaindrum/service-clients';
@@ -8,10 +8,10 @@
 
 /**
  * A record of the intent topic with one part of the state as of `part.asOf`, which is always lower
- * than the record's own offset. The parts of one id make a checkpoint once the last has landed.
- * Records in between are not in it, so a reader that starts from it replays them too. Hence a
- * checkpoint that lands late, after a newer change, can't undo that change; and one whose following
- * records are partly gone can't be started from.
+ * than the record's own offset. The parts of one id form a checkpoint once the last is in the log.
+ * It doesn't include the records between `asOf` and itself, so a reader that starts from it replays
+ * those too. Hence a checkpoint that is appended after a newer change can't undo that change, and
+ * one whose following records have been deleted in part can't be used.
  */
 export interface CheckpointRecord {
   kind: 'checkpoint';
@@ -31,7 +31,7 @@
   faults: z.array(z.string()).optional(),
 });
 
-/** Shape of a snapshot from the log or a peer. */
+/** Schema of a snapshot from the log or a peer. */
 export const snapshotSchema = z.object({
   asOf: z.number().int().min(-1),
   values: z.array(z.tuple([z.string(), z.unknown()])),
@@ -39,13 +39,13 @@
   recent: z.array(recentSchema),
 });
 
-/** Parts of the largest state that a node takes: two million keys. */
-const MOST_PARTS = 1_000;
+/** Largest number of parts that a node accepts: two million keys. */
+const MAX_PARTS = 1_000;
 
-/** Shape of one part of a snapshot. */
+/** Schema of one part of a snapshot. */
 export const partSchema = snapshotSchema.extend({
   index: z.number().int().min(0),
-  count: z.number().int().min(1).max(MOST_PARTS),
+  count: z.number().int().min(1).max(MAX_PARTS),
 }) as unknown as z.ZodType<SnapshotPart>;
 
 const checkpointSchema = z.object({
@@ -55,7 +55,7 @@
   part: partSchema,
 });
 
-/** Stands for a whole checkpoint in the history for peers, which need only know that it is there. */
+/** Stands for a complete checkpoint in the history for peers, which need only know that it exists. */
 export interface CheckpointMark {
   kind: 'checkpoint-mark';
   asOf: number;
@@ -73,11 +73,11 @@
 /** Whether a record's value claims to be a part of a checkpoint. */
 export const isCheckpoint = (value: unknown): boolean => kindOf(value) === 'checkpoint';
 
-/** The mark of a checkpoint in a record from a peer's history. */
+/** Parses the mark of a checkpoint in a record from a peer's history. */
 export const parseMark = (value: unknown): CheckpointMark | undefined =>
   kindOf(value) === 'checkpoint-mark' ? markSchema.safeParse(value).data : undefined;
 
-/** The records of a checkpoint, to be appended in this order. */
+/** Creates the records of a checkpoint, to be appended in this order. */
 export const checkpointRecords = (
   snapshot: IntentSnapshot,
   { id, at }: { id: string; at: number },
@@ -85,44 +85,44 @@
 ): CheckpointRecord[] =>
   partsOf(snapshot, partKeys).map((part) => ({ kind: 'checkpoint', id, at, part }));
 
-/** A checkpoint whose parts have all landed. */
-export interface WholeCheckpoint {
+/** A checkpoint whose parts are all in the log. */
+export interface CompleteCheckpoint {
   at: number;
   snapshot: IntentSnapshot;
 }
 
-/** Puts checkpoints together from their records. */
+/** Assembles checkpoints from their records. */
 export interface CheckpointCollector {
-  /** Takes a record; the checkpoint when this record made it whole. */
-  take(record: LogRecord): WholeCheckpoint | undefined;
+  /** Adds a record; returns the checkpoint if this record completes it. */
+  add(record: LogRecord): CompleteCheckpoint | undefined;
 }
 
-/** Checkpoints under way at once; a writer that died leaves parts behind that nobody completes. */
-const MOST_UNDER_WAY = 4;
+/** Limit on incomplete checkpoints: a writer that crashed leaves parts behind that are never completed. */
+const MAX_PENDING_CHECKPOINTS = 4;
 
-/** Creates a collector that has met no record yet. */
+/** Creates an empty collector. */
 export const createCheckpointCollector = (): CheckpointCollector => {
-  const underWay = new Map<string, SnapshotPart[]>();
+  const pending = new Map<string, SnapshotPart[]>();
 
   const partsOfId = (id: string): SnapshotPart[] => {
-    const parts = underWay.get(id) ?? [];
-    underWay.set(id, parts);
-    const [oldest] = underWay.keys();
-    if (underWay.size > MOST_UNDER_WAY && oldest !== undefined) underWay.delete(oldest);
+    const parts = pending.get(id) ?? [];
+    pending.set(id, parts);
+    const [oldest] = pending.keys();
+    if (pending.size > MAX_PENDING_CHECKPOINTS && oldest !== undefined) pending.delete(oldest);
     return parts;
   };
 
   return {
-    take: ({ offset, value }) => {
+    add: ({ offset, value }) => {
       if (!isCheckpoint(value)) return undefined;
       const checked = checkpointSchema.safeParse(value);
       if (!checked.success || checked.data.part.asOf >= offset) return undefined;
       const { id, at, part } = checked.data;
       const parts = partsOfId(id);
-      // On its way to the log an append may be doubled.
+      // Skips a part that was appended twice, as by a retry.
       if (part.index === parts.length) parts.push(part);
       if (parts.length < part.count) return undefined;
-      underWay.delete(id);
+      pending.delete(id);
       const snapshot = joinParts(parts);
       return snapshot && { at, snapshot };
     },
--- a/packages/intent/src/core/document/snapshot-parts.ts
+++ b/packages/intent/src/core/document/snapshot-parts.ts
@@ -1,35 +1,35 @@
 /**
- * Cuts a state to what one frame, or one record of the log, carries.
+ * Splits a snapshot into parts that fit in one frame of a link, or one record of the log.
  *
- * The state of 11,000 organisations is larger than a link's largest frame, which would end the link
- * each time that a starting node asks for it, and larger than the record that a log takes by
- * default (1 MB). So it goes in parts of one frozen state; records go in batches anyway.
+ * The state of 11,000 organisations exceeds the largest frame of a link, so that sending it would
+ * close the link each time a starting node fetches it, and the default record limit of a log (1 MB).
+ * So it is sent in parts of one snapshot. Records are sent in batches anyway.
  */
 
 import type { LogRecord } from '@plantaindrum/service-clients';
 import type { IntentSnapshot } from './aggregate.js';
 
-/** One part of a state; all parts of one `asOf` make the whole. */
+/** One part of a snapshot; all parts with the same `asOf` make up the snapshot. */
 export interface SnapshotPart extends IntentSnapshot {
   index: number;
   count: number;
 }
 
-/** Names a part that a peer wants next. */
-export interface PartName {
+/** Identifies the part that a peer requests next. */
+export interface PartId {
   asOf: number;
   index: number;
 }
 
-/** Keys in one part; far below a frame at the size of an organisation's declaration. */
+/** Keys in one part: with the size of an organisation's declaration, far below the frame limit. */
 export const PART_KEYS = 2_000;
-/** Bytes of JSON in one batch of records, unless a single record is larger. */
+/** Limit on a batch of records in bytes of JSON; a single larger record is a batch of its own. */
 const BATCH_BYTES = 524_288;
 
 const countOf = ({ values, versions, recent }: IntentSnapshot, partKeys: number): number =>
   Math.max(1, ...[values, versions, recent].map((list) => Math.ceil(list.length / partKeys)));
 
-/** The part of a state with the given index. */
+/** The part of a snapshot with the given index. */
 export const partOf = (
   snapshot: IntentSnapshot,
   index: number,
@@ -46,19 +46,19 @@
   };
 };
 
-/** All parts of a state, in order. */
+/** All parts of a snapshot, in order. */
 export const partsOf = (snapshot: IntentSnapshot, partKeys = PART_KEYS): SnapshotPart[] =>
   Array.from({ length: countOf(snapshot, partKeys) }, (_, index) =>
     partOf(snapshot, index, partKeys),
   );
 
-/** Puts the parts of one state together; undefined when they are not all of one. */
+/** Joins the parts of one snapshot; undefined if any is missing or belongs to another snapshot. */
 export const joinParts = (parts: SnapshotPart[]): IntentSnapshot | undefined => {
   const [first] = parts;
-  const isWhole = parts.every(
+  const isComplete = parts.every(
     ({ asOf, index, count }, at) => asOf === first?.asOf && index === at && count === parts.length,
   );
-  if (!first || !isWhole) return undefined;
+  if (!first || !isComplete) return undefined;
   return {
     asOf: first.asOf,
     values: parts.flatMap(({ values }) => values),
@@ -67,12 +67,12 @@
   };
 };
 
-/** The first records that fit in one batch; at least one. */
-export const batchOf = (records: LogRecord[], most: number): LogRecord[] => {
+/** The leading records that fit in one batch; at least one. */
+export const batchOf = (records: LogRecord[], maxRecords: number): LogRecord[] => {
   let bytes = 0;
   const end = records.findIndex((record, at) => {
     bytes += JSON.stringify(record).length;
-    return at > 0 && (at >= most || bytes > BATCH_BYTES);
+    return at > 0 && (at >= maxRecords || bytes > BATCH_BYTES);
   });
   return end < 0 ? records : records.slice(0, end);
 };
--- a/packages/intent/src/core/document/validation.ts
+++ b/packages/intent/src/core/document/validation.ts
@@ -1,4 +1,4 @@
-/** What makes one change of the intent document valid; the same at every reader. */
+/** Validates changes of the intent document. All readers apply the same rules. */
 
 import { z } from 'zod';
 import type {
@@ -47,17 +47,17 @@
     .max(MAX_CHANGES),
 };
 
-/** Shape of a submission; whether its changes are valid depends on the document. */
+/** Schema of a submission; whether its changes are valid depends on the document. */
 export const submissionSchema = z.object(submissionShape) as unknown as z.ZodType<IntentSubmission>;
 
-/** Shape of a change record. */
+/** Schema of a change record. */
 export const recordSchema = z.object({
   kind: z.literal('change'),
   at: z.number(),
   ...submissionShape,
 }) as unknown as z.ZodType<IntentRecord>;
 
-/** Section and name of a key, or undefined when it is not a key of the document. */
+/** Splits a key into section and name; undefined if it isn't a key of the document. */
 export const splitKey = (key: string): { section: Section; name: string } | undefined => {
   const slash = key.indexOf('/');
   const section = sections.find((known) => known === key.slice(0, slash));
@@ -82,36 +82,36 @@
   return { value: null, faults };
 };
 
-/** The class that a route or an organisation refers to. */
-const referredClass = (key: IntentKey, value: unknown): string | undefined => {
+/** Name of the class that a route or an organisation refers to. */
+const referencedClass = (key: IntentKey, value: unknown): string | undefined => {
   if (key.startsWith('routes/')) return (value as { class: string }).class;
   if (key.startsWith('organisations/')) return (value as { defaultClass?: string }).defaultClass;
   return undefined;
 };
 
-const danglingReference = (key: IntentKey, values: IntentValues): string[] => {
-  const name = referredClass(key, values.get(key));
+const findDanglingReference = (key: IntentKey, values: IntentValues): string[] => {
+  const name = referencedClass(key, values.get(key));
   if (name === undefined || values.has(`classes/${name}`)) return [];
   return [`${key}: class ${name} does not exist`];
 };
 
 /**
- * Checks references of the changed keys only; the document was valid before, so nothing else can
- * dangle, unless a class went.
+ * Checks the references of the changed keys only, as the document was valid before. If a class is
+ * removed, any key may refer to it, so all are checked.
  */
 const checkReferences = (changed: Map<IntentKey, unknown>, after: IntentValues): string[] => {
   const removesClass = [...changed].some(
     ([key, value]) => value === null && key.startsWith('classes/'),
   );
   const keys = removesClass ? [...after.keys()] : [...changed.keys()];
-  return keys.filter((key) => after.has(key)).flatMap((key) => danglingReference(key, after));
+  return keys.filter((key) => after.has(key)).flatMap((key) => findDanglingReference(key, after));
 };
 
-/** Values after a change (null: removed), or the faults that make it invalid. */
+/** The changed values (null: removed), or the faults that make the change invalid. */
 export type CheckedChanges =
   { valid: true; changed: Map<IntentKey, unknown> } | { valid: false; faults: string[] };
 
-/** A view of `values` with `changed` laid over it, without a copy. */
+/** A view of `values` with `changed` applied, without copying. */
 const overlay = (values: IntentValues, changed: Map<IntentKey, unknown>): IntentValues => {
   const has = (key: IntentKey): boolean =>
     changed.has(key) ? changed.get(key) !== null : values.has(key);
@@ -120,7 +120,7 @@
   return { has, get, keys } as unknown as IntentValues;
 };
 
-/** Checks changes against the values that they would be made to. */
+/** Validates changes against the current values. */
 export const checkChanges = (changes: IntentChange[], values: IntentValues): CheckedChanges => {
   const checked = changes.map((change) => ({ key: change.key, ...checkChange(change) }));
   const faults = checked.flatMap((change) => change.faults);
--- a/packages/intent/src/core/membership/dial-delay.ts
+++ b/packages/intent/src/core/membership/dial-delay.ts
@@ -1,25 +1,27 @@
 import type { Random } from '@plantaindrum/common';
 
-/** What a delay before dialling depends on. */
+/** Inputs of `dialDelayMs`. */
 export interface DialDelay {
-  /** Nodes that dial the same peer, as far as the list tells; 1 when unknown. */
+  /** Number of nodes that dial the same peer, according to the VM list; 1 if unknown. */
   dialers: number;
-  /** Connections that one peer takes a second without its answers getting late. */
+  /** Connections per second that a peer can accept without delaying its answers. */
   acceptsPerSecond: number;
   random: Random;
 }
 
-const LONGEST_SPREAD_MS = 10_000;
+/** Upper bound of the spread, in milliseconds. */
+const MAX_SPREAD_MS = 10_000;
 
 /**
- * Delay before a first dial, in milliseconds, uniform over a spread that grows with the crowd.
+ * Delay before the first dial to a peer, in milliseconds, uniformly random over a spread that grows
+ * with the number of dialling nodes.
  *
- * When a data centre comes back all its peers dial it at once, and an agent busy with hellos answers
- * nobody's requests in time. Spread over the time that one peer needs to accept all its dialers, the
- * crowd arrives no faster than it is taken in.
+ * When a data centre returns, all its peers dial it at once, and an agent that is busy with
+ * handshakes answers no request in time. The spread is the time that a peer needs to accept all its
+ * dialers, so connections arrive no faster than they are accepted.
  */
 export const dialDelayMs = ({ dialers, acceptsPerSecond, random }: DialDelay): number => {
   if (dialers <= 1) return 0;
-  const spreadMs = Math.min(LONGEST_SPREAD_MS, (dialers / acceptsPerSecond) * 1_000);
+  const spreadMs = Math.min(MAX_SPREAD_MS, (dialers / acceptsPerSecond) * 1_000);
   return random() * spreadMs;
 };
--- a/packages/intent/src/core/membership/membership.ts
+++ b/packages/intent/src/core/membership/membership.ts
@@ -1,14 +1,14 @@
 /**
- * Who is there and may get new work: the platform's lagging list joined with what links tell.
+ * Which VMs exist and may get new work, from the platform's VM list and the state of links.
  *
- * The list is late in both directions: it shows a VM for a while after its death and after it began
- * to leave, and forgets one that still finishes its work. A link is first-hand knowledge, so it
- * overrules the list wherever it says "no new work"; the list alone never makes a VM usable.
+ * The list lags in both directions: it shows a VM for a while after it has died or begun to leave,
+ * and drops one that is still finishing its work. The state of a link is first-hand, so it overrides
+ * the list where it rules new work out; the list alone never makes a VM usable.
  */
 
 import type { Clock, Metrics } from '@plantaindrum/common';
 
-/** What membership needs to know of a VM in the list. */
+/** The fields of a listed VM that membership uses. */
 export interface ListedVm {
   name: string;
   address: string;
@@ -16,70 +16,71 @@
 }
 
 /**
- * Whether a VM may get new work, and why not: `leaving` was announced or listed, `unlinked` has no
- * link now, `forgotten` was dropped by the list.
+ * Whether a VM may get new work (`usable`), or why not: `leaving` was announced by its process or
+ * by the list, `unlinked` has no link at present, `forgotten` was dropped from the list.
  */
 export type Standing = 'usable' | 'leaving' | 'unlinked' | 'forgotten';
 
-/** A VM that is known, with its standing. */
+/** A known VM, and whether it may get new work. */
 export interface Member<V extends ListedVm> {
   vm: V;
   standing: Standing;
 }
 
-/** Evidence on VMs, and what follows from it. */
+/** Combines the VM list with the events of links. */
 export interface Membership<V extends ListedVm> {
-  /** Takes a whole list. */
+  /** Applies a complete VM list. */
   listed(vms: readonly V[]): void;
-  /** A link to this instance of the VM's process is up. */
+  /** Records that a link to this instance of the VM's process is up. */
   linked(name: string, instance: string): void;
-  /** That instance announced that it takes no new work. */
+  /** Records that this instance announced that it takes no new work. */
   announcedLeaving(name: string, instance: string): void;
-  /** The link to that instance has ended. */
+  /** Records that the link to this instance has closed. */
   unlinked(name: string, instance: string): void;
   members(): Member<V>[];
   standing(name: string): Standing | undefined;
-  /** Whether a link to the VM is to be kept up. */
+  /** Whether to keep dialling the VM while it has no link. */
   shouldDial(name: string): boolean;
 }
 
-/** Bounds of a membership. */
+/** Options of `createMembership`. */
 export interface MembershipOptions {
   clock: Clock;
   metrics: Metrics;
-  /** A linked VM that the list dropped gets no new work after this long, in milliseconds. */
+  /** Time after which a linked VM that the list has dropped gets no new work, in milliseconds. */
   forgetAfterMs?: number;
 }
 
-interface Known<V> {
+interface KnownVm<V> {
   vm: V;
   missingSince: number | undefined;
   instance: string | undefined;
   leavingInstance: string | undefined;
 }
 
-/** A single reading without a VM may be a fault of the list; two a second apart seldom are. */
+/** A single list without a VM may be a fault of the list; two that are a second apart rarely are. In milliseconds. */
 const FORGET_AFTER_MS = 1_500;
 
 /**
- * Above this share of linked VMs missing at once the list is not believed: a platform that lost its
- * own records would otherwise take every upstream away, though all of them answer on their links.
+ * Removals are ignored when more than this share of the linked VMs is missing from the list at once:
+ * a platform that lost its own records would otherwise remove every upstream, though all of them
+ * still answer on their links.
  */
-const MOST_MISSING_AT_ONCE = 0.5;
+const MAX_MISSING_SHARE = 0.5;
 
-/** Creates a membership that knows nobody. */
+/** Creates a membership without VMs. */
 export const createMembership = <V extends ListedVm>(options: MembershipOptions): Membership<V> => {
   const { clock, metrics } = options;
   const forgetAfterMs = options.forgetAfterMs ?? FORGET_AFTER_MS;
-  const known = new Map<string, Known<V>>();
+  const known = new Map<string, KnownVm<V>>();
 
   const isImplausible = (names: Set<string>): boolean => {
     const linked = [...known.values()].filter(({ instance }) => instance !== undefined);
     const missing = linked.filter(({ vm }) => !names.has(vm.name));
-    return missing.length > 1 && missing.length > linked.length * MOST_MISSING_AT_ONCE;
+    return missing.length > 1 && missing.length > linked.length * MAX_MISSING_SHARE;
   };
 
-  const note = (vm: V): void => {
+  const recordListed = (vm: V): void => {
     const before = known.get(vm.name);
     const isMoved = before !== undefined && before.vm.address !== vm.address;
     if (!before || isMoved) {
@@ -92,13 +93,13 @@
     before.missingSince = undefined;
   };
 
-  const noteMissing = (entry: Known<V>): void => {
+  const recordMissing = (entry: KnownVm<V>): void => {
     const missingSince = entry.missingSince ?? clock.monotonic();
     if (entry.instance === undefined) known.delete(entry.vm.name);
     else known.set(entry.vm.name, { ...entry, missingSince });
   };
 
-  const standingOf = (entry: Known<V>): Standing => {
+  const standingOf = (entry: KnownVm<V>): Standing => {
     const { instance, leavingInstance, missingSince, vm } = entry;
     if (instance === undefined) return 'unlinked';
     if (instance === leavingInstance || vm.state === 'leaving') return 'leaving';
@@ -111,12 +112,12 @@
   return {
     listed: (vms) => {
       const names = new Set(vms.map(({ name }) => name));
-      vms.forEach(note);
+      vms.forEach(recordListed);
       if (isImplausible(names)) {
         metrics.count('vm_list_not_believed');
         return;
       }
-      [...known.values()].filter(({ vm }) => !names.has(vm.name)).forEach(noteMissing);
+      [...known.values()].filter(({ vm }) => !names.has(vm.name)).forEach(recordMissing);
     },
     linked: (name, instance) => {
       const entry = known.get(name);
--- a/packages/intent/src/index.ts
+++ b/packages/intent/src/index.ts
@@ -3,7 +3,7 @@
 export { splitKey } from './core/document/validation.js';
 export * from './links.js';
 export { INTENT_PARTITION, INTENT_TOPIC } from './reader/log-follower.js';
-export { fetchWhole } from './reader/peers.js';
+export { fetchFullAnswer } from './reader/peers.js';
 export type { FetchAnswer, FetchReply, IntentPeer } from './reader/peers.js';
 export * from './reader/reader.js';
 export * from './types.js';
--- a/packages/intent/src/links.ts
+++ b/packages/intent/src/links.ts
@@ -1,7 +1,7 @@
-/** Joins the intent reader to a process's links. */
+/** Connects the intent reader to the links of its process. */
 
 import type { FetchReply, IntentPeer } from './reader/peers.js';
-import { FETCH_METHOD, fetchWhole, parseFetchReply } from './reader/peers.js';
+import { FETCH_METHOD, fetchFullAnswer, parseFetchReply } from './reader/peers.js';
 import type { IntentNode } from './reader/reader.js';
 
 /** The part of a link that intent uses. */
@@ -15,7 +15,7 @@
   readonly closed: Promise<unknown>;
 }
 
-/** What goes into the link options of a process. */
+/** The handlers and callbacks of an intent reader for the link options of its process. */
 export interface IntentLinks {
   handlers: Record<string, (args: unknown) => Promise<FetchReply>>;
   intentOffset: () => number;
@@ -27,20 +27,20 @@
 
 const FETCH_TIMEOUT_MS = 2_000;
 
-const peerOf = (link: IntentLink): IntentPeer => ({
+const createPeer = (link: IntentLink): IntentPeer => ({
   name: link.peer.node,
   fetch: (after) =>
-    fetchWhole(async (args) => {
+    fetchFullAnswer(async (args) => {
       const reply = await link.call(FETCH_METHOD, args, FETCH_TIMEOUT_MS);
       return reply.outcome === 'answered' ? parseFetchReply(reply.value) : undefined;
     }, after),
 });
 
-/** Creates the link handlers of a reader; a link leaves by itself when it has closed. */
+/** Creates the link handlers of a reader; a link's peer is removed when the link closes. */
 export const joinIntentToLinks = (node: IntentNode): IntentLinks => {
   const peers = new WeakMap<IntentLink, IntentPeer>();
 
-  const leaveWhenClosed = async (link: IntentLink, peer: IntentPeer): Promise<void> => {
+  const removePeerWhenClosed = async (link: IntentLink, peer: IntentPeer): Promise<void> => {
     await link.closed;
     node.removePeer(peer);
   };
@@ -49,14 +49,14 @@
     handlers: { [FETCH_METHOD]: async (args) => node.serveFetch(args) },
     intentOffset: () => node.current().offset,
     onLink: (link) => {
-      const peer = peerOf(link);
+      const peer = createPeer(link);
       peers.set(link, peer);
       node.addPeer(peer);
-      void leaveWhenClosed(link, peer);
+      void removePeerWhenClosed(link, peer);
     },
     onPeerOffset: (link, offset) => {
       const peer = peers.get(link);
-      if (peer) node.noticeOffset(peer, offset);
+      if (peer) node.handlePeerOffset(peer, offset);
     },
   };
 };
--- a/packages/intent/src/reader/freshness.ts
+++ b/packages/intent/src/reader/freshness.ts
@@ -1,10 +1,10 @@
-/** Whether this node's offset is known to be the newest, and since when it is not. */
+/** Tracks whether this node's offset is known to be the latest, and if not, why. */
 
 import type { Clock, Logger, Metrics } from '@plantaindrum/common';
 import type { IntentFreshness, IntentStaleReason, IntentState } from '../types.js';
 import type { IntentPeer } from './peers.js';
 
-/** What the freshness of a node is worked out from. */
+/** Options of `createFreshnessTracker`. */
 export interface FreshnessOptions {
   clock: Clock;
   metrics: Metrics;
@@ -12,71 +12,74 @@
   /** Without a confirmation for this long a node no longer counts as fresh, in milliseconds. */
   staleAfterMs: number;
   offset: () => number;
-  /** Whether the log lacks records that this node needs. */
-  scanning: () => boolean;
+  /** Whether the log no longer holds records that this node needs. */
+  isScanning: () => boolean;
 }
 
-/** Keeps what the log and the peers have shown. */
+/** Derives freshness from the answers of the log and the offsets of peers. */
 export interface FreshnessTracker {
-  now(): IntentFreshness;
-  /** Known at `monotonic` time: this node's offset was the newest. */
+  current(): IntentFreshness;
+  /** Records that this node's offset was the latest at `monotonic` time. */
   confirm(monotonic: number): void;
-  /** The log ends before `end`. */
-  logEnds(end: number): void;
-  /** The log answered, or it did not. */
-  logReached(reached: boolean): void;
-  logIsReached(): boolean;
-  /** A frame or answer of a peer showed this offset. */
-  peerShowed(peer: IntentPeer, offset: number): void;
-  /** A peer answered a call. */
-  peerAnswered(): void;
-  peerGone(peer: IntentPeer): void;
-  /** Peers alone vouch for the offset while the log is unreachable; see `createPeerQuorum`. */
-  vouchedByPeers(): void;
-  /** Counts and reports a change of state; to be called after news and from time to time. */
-  review(): void;
+  /** Records the log's end: the offset after its last record. */
+  recordLogEnd(end: number): void;
+  /** Records whether a call to the log was answered. */
+  recordLogCall(reached: boolean): void;
+  /** Whether the last call to the log was answered; true before the first call. */
+  isLogReachable(): boolean;
+  /** Records the offset in a frame or answer of a peer. */
+  recordPeerOffset(peer: IntentPeer, offset: number): void;
+  /** Records that a peer answered a call. */
+  recordPeerAnswer(): void;
+  removePeer(peer: IntentPeer): void;
+  /** Lets a starting node count as caught up by its peers alone while the log is unreachable. */
+  catchUpFromPeers(): void;
+  /** Counts and logs a change of state. Call it after an update, and periodically as states expire. */
+  reportStateChange(): void;
+  /** Calls `fn` once the node has caught up. */
   onCaughtUp(fn: () => void): void;
 }
 
 /** Creates the tracker of a starting node. */
 export const createFreshnessTracker = (options: FreshnessOptions): FreshnessTracker => {
   const { clock, metrics, logger, staleAfterMs } = options;
-  const shown = new Map<IntentPeer, number>();
-  let logLast = -1;
-  let reached = false;
-  let tried = false;
+  const peerOffsets = new Map<IntentPeer, number>();
+  let lastLogOffset = -1;
+  let isReachable = false;
+  let isLogTried = false;
   let caughtUp = false;
   let confirmedAt: number | undefined;
   let peerAnsweredAt: number | undefined;
-  let reported: IntentState = 'starting';
-  let whenCaughtUp: (() => void)[] = [];
+  let reportedState: IntentState = 'starting';
+  let caughtUpListeners: (() => void)[] = [];
 
-  const within = (since: number | undefined): boolean =>
-    since !== undefined && clock.monotonic() - since <= staleAfterMs;
+  const isRecent = (at: number | undefined): boolean =>
+    at !== undefined && clock.monotonic() - at <= staleAfterMs;
 
-  const behind = (): number => Math.max(0, Math.max(logLast, ...shown.values()) - options.offset());
+  const behind = (): number =>
+    Math.max(0, Math.max(lastLogOffset, ...peerOffsets.values()) - options.offset());
 
   const startingReason = (): IntentStaleReason => {
-    if (options.scanning()) return 'no-usable-checkpoint';
-    if (reached) return logLast > options.offset() ? 'replaying' : 'behind-peer';
-    if (!tried) return 'replaying';
-    return shown.size > 0 ? 'asking-peers' : 'log-and-peers-unreachable';
+    if (options.isScanning()) return 'no-usable-checkpoint';
+    if (isReachable) return lastLogOffset > options.offset() ? 'replaying' : 'behind-peer';
+    if (!isLogTried) return 'replaying';
+    return peerOffsets.size > 0 ? 'asking-peers' : 'log-and-peers-unreachable';
   };
 
   const staleReason = (state: IntentState): IntentStaleReason => {
     if (state === 'isolated') return 'log-and-peers-unreachable';
-    if (options.scanning()) return 'no-usable-checkpoint';
+    if (options.isScanning()) return 'no-usable-checkpoint';
     return behind() > 0 ? 'behind-peer' : 'log-unreachable';
   };
 
-  const stateNow = (): IntentState => {
+  const currentState = (): IntentState => {
     if (!caughtUp) return 'starting';
-    if (within(confirmedAt)) return 'fresh';
-    return within(peerAnsweredAt) ? 'stale' : 'isolated';
+    if (isRecent(confirmedAt)) return 'fresh';
+    return isRecent(peerAnsweredAt) ? 'stale' : 'isolated';
   };
 
-  const now = (): IntentFreshness => {
-    const state = stateNow();
+  const current = (): IntentFreshness => {
+    const state = currentState();
     const base = { caughtUp, behind: behind(), state };
     const confirmed =
       confirmedAt === undefined ? {} : { confirmedMsAgo: clock.monotonic() - confirmedAt };
@@ -85,56 +88,56 @@
     return { ...base, ...confirmed, reason };
   };
 
-  const review = (): void => {
-    const { state, reason } = now();
-    if (state === reported) return;
-    reported = state;
+  const reportStateChange = (): void => {
+    const { state, reason } = current();
+    if (state === reportedState) return;
+    reportedState = state;
     metrics.count('intent_state', { state });
     const line = `intent is ${state}${reason ? `: ${reason}` : ''}`;
     if (state === 'fresh') logger.info(line);
     else logger.warn(line);
   };
 
-  const reachNewest = (): void => {
-    if (caughtUp || behind() > 0 || options.scanning()) return;
+  const catchUp = (): void => {
+    if (caughtUp || behind() > 0 || options.isScanning()) return;
     caughtUp = true;
-    const waiting = whenCaughtUp;
-    whenCaughtUp = [];
-    waiting.forEach((fn) => fn());
+    const listeners = caughtUpListeners;
+    caughtUpListeners = [];
+    listeners.forEach((fn) => fn());
   };
 
   return {
-    now,
+    current,
     confirm: (monotonic) => {
       confirmedAt = Math.max(confirmedAt ?? monotonic, monotonic);
-      if (within(confirmedAt)) reachNewest();
-      review();
+      if (isRecent(confirmedAt)) catchUp();
+      reportStateChange();
     },
-    logEnds: (end) => {
-      logLast = Math.max(logLast, end - 1);
+    recordLogEnd: (end) => {
+      lastLogOffset = Math.max(lastLogOffset, end - 1);
     },
-    logReached: (value) => {
-      tried = true;
-      reached = value;
+    recordLogCall: (value) => {
+      isLogTried = true;
+      isReachable = value;
     },
-    logIsReached: () => reached || !tried,
-    peerShowed: (peer, offset) => {
-      shown.set(peer, offset);
+    isLogReachable: () => isReachable || !isLogTried,
+    recordPeerOffset: (peer, offset) => {
+      peerOffsets.set(peer, offset);
     },
-    peerAnswered: () => {
+    recordPeerAnswer: () => {
       peerAnsweredAt = clock.monotonic();
     },
-    peerGone: (peer) => {
-      shown.delete(peer);
+    removePeer: (peer) => {
+      peerOffsets.delete(peer);
     },
-    vouchedByPeers: () => {
-      reachNewest();
-      review();
+    catchUpFromPeers: () => {
+      catchUp();
+      reportStateChange();
     },
-    review,
+    reportStateChange,
     onCaughtUp: (fn) => {
       if (caughtUp) fn();
-      else whenCaughtUp.push(fn);
+      else caughtUpListeners.push(fn);
     },
   };
 };
--- a/packages/intent/src/reader/log-follower.ts
+++ b/packages/intent/src/reader/log-follower.ts
@@ -1,4 +1,4 @@
-/** The task that follows the intent topic of the log. */
+/** Follows the intent topic of the log. */
 
 import type { Clock, Metrics, Random } from '@plantaindrum/common';
 import { createPause } from '@plantaindrum/common';
@@ -8,10 +8,10 @@
 
 /** Topic and partition of the operators' intent. */
 export const INTENT_TOPIC = 'plantaindrum.intent';
-/** The intent topic has one partition, so that its offsets are one total order. */
+/** The only partition of the intent topic, so that offsets order all its records. */
 export const INTENT_PARTITION = 0;
 
-/** What the task works on. */
+/** Options of `startLogFollower`. */
 export interface LogFollowerOptions {
   log: Log;
   clock: Clock;
@@ -19,22 +19,23 @@
   metrics: Metrics;
   replica: IntentReplica;
   freshness: FreshnessTracker;
-  /** Takes records that were read. */
-  take: (records: LogRecord[]) => void;
+  /** Called with the records of each read. */
+  applyRecords: (records: LogRecord[]) => void;
   /** Long-poll wait of a read, in milliseconds. */
   readWaitMs: number;
-  /** Longest wait between tries while the log is down, in milliseconds. */
-  retryMaxMs: number;
-  /** False while peers keep this node up to date and the log need not be asked. */
+  /** Longest retry delay while the log is down, in milliseconds. */
+  maxRetryDelayMs: number;
+  /** False while peers keep this node up to date, so that the log need not be read. */
   isNeeded: () => boolean;
 }
 
-const RETRY_FIRST_MS = 50;
+/** Base of the retry delay, in milliseconds; it doubles with each failure. */
+const RETRY_DELAY_MS = 50;
 
 /** A running follower. */
 export interface LogFollower {
-  /** Ends a wait between tries at once. */
-  wake(): void;
+  /** Ends a pending retry delay. */
+  retryNow(): void;
   close(): void;
 }
 
@@ -45,30 +46,30 @@
   let closed = false;
   let failures = 0;
   let rangeKnown = false;
-  let endSeen = { end: 0, at: 0 };
+  let knownEnd = { end: 0, at: 0 };
 
-  /** The log was restored to an older state; a node never goes back, so it holds what it has. */
-  const isBehindUs = (end: number): boolean => end - 1 < replica.aggregate().offset();
+  /** Whether the log was restored to an older state. A node never goes back, so it keeps what it has. */
+  const isBehindReplica = (end: number): boolean => end - 1 < replica.aggregate().offset();
 
   const confirmIfAtEnd = (): void => {
-    if (replica.scanning() || replica.aggregate().offset() < endSeen.end - 1) return;
-    freshness.confirm(endSeen.at);
+    if (replica.isScanning() || replica.aggregate().offset() < knownEnd.end - 1) return;
+    freshness.confirm(knownEnd.at);
   };
 
-  const learnRange = async (): Promise<boolean> => {
-    const asked = clock.monotonic();
+  const fetchRange = async (): Promise<boolean> => {
+    const requestedAt = clock.monotonic();
     const range = await log.offsets(INTENT_TOPIC, INTENT_PARTITION);
-    freshness.logReached(range.ok);
+    freshness.recordLogCall(range.ok);
     if (!range.ok) return false;
     const { beginning, end } = range.value;
-    if (isBehindUs(end)) {
+    if (isBehindReplica(end)) {
       metrics.count('intent_log_behind');
       return false;
     }
     rangeKnown = true;
-    freshness.logEnds(end);
-    endSeen = { end, at: asked };
-    if (beginning > replica.nextFromLog()) {
+    freshness.recordLogEnd(end);
+    knownEnd = { end, at: requestedAt };
+    if (beginning > replica.nextLogOffset()) {
       metrics.count('intent_records_expired');
       replica.startScan(beginning);
     }
@@ -76,33 +77,33 @@
     return true;
   };
 
-  const takeRead = (records: LogRecord[], from: number, asked: number): void => {
+  const handleRead = (records: LogRecord[], from: number, requestedAt: number): void => {
     const first = records[0];
     if (first && first.offset > from) {
-      // The records in between are gone, just as after an out-of-range answer.
+      // The log has deleted the records in between, as with an out-of-range answer.
       rangeKnown = false;
       return;
     }
-    options.take(records);
+    options.applyRecords(records);
     confirmIfAtEnd();
-    if (records.length > 0 || replica.scanning()) return;
-    // The service has waited this long before it answered "none", so it looked no earlier.
-    freshness.confirm(Math.min(clock.monotonic(), asked + options.readWaitMs));
+    if (records.length > 0 || replica.isScanning()) return;
+    // An empty answer comes only after the long-poll wait, so it was true at its end.
+    freshness.confirm(Math.min(clock.monotonic(), requestedAt + options.readWaitMs));
   };
 
   const readOnce = async (): Promise<boolean> => {
-    if (!rangeKnown && !(await learnRange())) return false;
-    const from = replica.nextFromLog();
-    const asked = clock.monotonic();
+    if (!rangeKnown && !(await fetchRange())) return false;
+    const from = replica.nextLogOffset();
+    const requestedAt = clock.monotonic();
     const read = await log.read(INTENT_TOPIC, INTENT_PARTITION, from, options.readWaitMs);
     if (closed) return false;
     if (!read.ok) rangeKnown = false;
-    freshness.logReached(read.ok || read.err.kind === 'out-of-range');
+    freshness.recordLogCall(read.ok || read.err.kind === 'out-of-range');
     if (!read.ok) {
       metrics.count('intent_log_read_failed', { kind: read.err.kind });
       return false;
     }
-    takeRead(read.value, from, asked);
+    handleRead(read.value, from, requestedAt);
     return true;
   };
 
@@ -112,18 +113,21 @@
         await pause.wait(options.readWaitMs);
         continue;
       }
-      const worked = await readOnce();
-      failures = worked ? 0 : failures + 1;
-      freshness.review();
-      const ceiling = Math.min(options.retryMaxMs, RETRY_FIRST_MS * 2 ** Math.min(failures, 20));
-      if (!worked && !closed) await pause.wait(random() * ceiling);
+      const succeeded = await readOnce();
+      failures = succeeded ? 0 : failures + 1;
+      freshness.reportStateChange();
+      const maxDelayMs = Math.min(
+        options.maxRetryDelayMs,
+        RETRY_DELAY_MS * 2 ** Math.min(failures, 20),
+      );
+      if (!succeeded && !closed) await pause.wait(random() * maxDelayMs);
     }
   };
 
   void follow();
 
   return {
-    wake: () => pause.end(),
+    retryNow: () => pause.end(),
     close: () => {
       closed = true;
       pause.end();
--- a/packages/intent/src/reader/peer-asker.ts
+++ b/packages/intent/src/reader/peer-asker.ts
@@ -1,8 +1,8 @@
 /**
- * Fetches from peers what the log has not brought.
+ * Fetches records from peers that have not arrived from the log.
  *
- * Frames between nodes carry the offset that their sender has replayed. A node that sees a higher
- * one than its own has noticed a gap and fetches it from the history of the peer that showed it:
+ * Frames between nodes carry the sender's replayed offset. A node that receives a higher offset
+ * than its own has a gap, and fetches the missing records from the history of that peer. These are
  * the gap detection and history buffer of Kaashoek, Tanenbaum and Verstoep, "Group Communication
  * in Amoeba and its Applications", with the log in the place of their sequencer.
  */
@@ -12,145 +12,145 @@
 import type { FetchAnswer, IntentPeer } from './peers.js';
 import type { IntentReplica } from './replica.js';
 
-/** What the asker works on. */
-export interface PeerAskerOptions {
+/** Options of `createPeerFetcher`. */
+export interface PeerFetcherOptions {
   clock: Clock;
   random: Random;
   metrics: Metrics;
   replica: IntentReplica;
   freshness: FreshnessTracker;
-  take: (answer: FetchAnswer) => void;
-  /** Time that the log gets to bring a record first, in milliseconds. */
+  applyAnswer: (answer: FetchAnswer) => void;
+  /** Time for a missing record to arrive from the log before it is fetched from a peer, in milliseconds. */
   gapGraceMs: number;
-  /** Time between questions to one peer while the log brings no confirmation, in milliseconds. */
+  /** Mean interval of polling a peer while the log doesn't confirm the offset, in milliseconds. */
   pollMs: number;
-  /** Time for more peers to be heard before peers alone vouch for the offset, in milliseconds. */
-  settleMs: number;
-  /** False turns gap detection off, to measure what it brings. */
+  /** Time to wait for more peers before fewer than `MIN_CONFIRMING_PEERS` suffice, in milliseconds. */
+  quorumWaitMs: number;
+  /** False turns gap detection off, to compare runs with and without it. */
   detectGaps: boolean;
 }
 
-/** Asks peers. */
-export interface PeerAsker {
+/** Fetches intent from peers. */
+export interface PeerFetcher {
   add(peer: IntentPeer): void;
   remove(peer: IntentPeer): void;
-  /** A frame of the peer carried this offset. */
-  noticed(peer: IntentPeer, offset: number): void;
+  /** Handles the offset in a frame of a peer. */
+  handlePeerOffset(peer: IntentPeer, offset: number): void;
   close(): void;
 }
 
-/** Peers that must have vouched before a node starts without the log, or all where fewer are linked. */
-const VOUCHERS = 3;
+/** Peers that must confirm the offset before a node starts without the log, or all linked peers if fewer. */
+const MIN_CONFIRMING_PEERS = 3;
 
-/** Creates an asker and starts its rounds. */
-export const createPeerAsker = (options: PeerAskerOptions): PeerAsker => {
+/** Creates a fetcher and starts polling. */
+export const createPeerFetcher = (options: PeerFetcherOptions): PeerFetcher => {
   const { clock, random, metrics, replica, freshness } = options;
   const peers = new Set<IntentPeer>();
-  const asking = new Set<IntentPeer>();
-  const vouched = new Set<IntentPeer>();
-  let firstVouchAt: number | undefined;
-  let graceRuns = false;
+  const fetching = new Set<IntentPeer>();
+  const confirmingPeers = new Set<IntentPeer>();
+  let firstConfirmationAt: number | undefined;
+  let isGapPending = false;
   let closed = false;
-  let cancelRound = (): void => {};
+  let cancelPoll = (): void => {};
 
   const offset = (): number => replica.aggregate().offset();
 
-  const vouch = (peer: IntentPeer): void => {
-    vouched.add(peer);
-    firstVouchAt ??= clock.monotonic();
+  const recordConfirmation = (peer: IntentPeer): void => {
+    confirmingPeers.add(peer);
+    firstConfirmationAt ??= clock.monotonic();
   };
 
   /**
-   * Without the log nobody can say for sure which offset is the newest. A starting node takes the
-   * highest that its peers show, once several have answered, or all in reach after the settling
-   * time: a single early answer could come from a node that has been cut off for long.
+   * Without the log the latest offset isn't known for certain. A starting node accepts the highest
+   * offset of its peers, once several have answered or `quorumWaitMs` has passed: a single early
+   * answer could come from a node that has long been cut off.
    */
-  const reviewVouchers = (): void => {
-    if (firstVouchAt === undefined || freshness.logIsReached()) return;
-    const settled = clock.monotonic() - firstVouchAt >= options.settleMs;
-    if (vouched.size >= VOUCHERS || settled) freshness.vouchedByPeers();
+  const checkPeerQuorum = (): void => {
+    if (firstConfirmationAt === undefined || freshness.isLogReachable()) return;
+    const hasWaited = clock.monotonic() - firstConfirmationAt >= options.quorumWaitMs;
+    if (confirmingPeers.size >= MIN_CONFIRMING_PEERS || hasWaited) freshness.catchUpFromPeers();
   };
 
-  const takeAnswer = (peer: IntentPeer, answer: FetchAnswer, asked: number): boolean => {
-    options.take(answer);
-    freshness.peerAnswered();
-    freshness.peerShowed(peer, answer.offset);
+  const handleAnswer = (peer: IntentPeer, answer: FetchAnswer, requestedAt: number): boolean => {
+    options.applyAnswer(answer);
+    freshness.recordPeerAnswer();
+    freshness.recordPeerOffset(peer, answer.offset);
     if (offset() < answer.offset) return false;
-    if (answer.caughtUp) vouch(peer);
+    if (answer.caughtUp) recordConfirmation(peer);
     if (answer.caughtUp && answer.confirmedMsAgo !== undefined) {
-      freshness.confirm(asked - answer.confirmedMsAgo);
+      freshness.confirm(requestedAt - answer.confirmedMsAgo);
     }
-    reviewVouchers();
+    checkPeerQuorum();
     return true;
   };
 
-  /** Asks until the peer has nothing more; an answer that brings nothing ends it too. */
-  const askUntilLevel = async (peer: IntentPeer): Promise<void> => {
-    for (let level = false; !level && !closed;) {
+  /** Fetches until this node is level with the peer, or an answer brings no progress. */
+  const fetchUntilLevel = async (peer: IntentPeer): Promise<void> => {
+    for (let isLevel = false; !isLevel && !closed;) {
       const before = offset();
-      const asked = clock.monotonic();
+      const requestedAt = clock.monotonic();
       metrics.count('intent_fetch_sent');
       const answer = await peer.fetch(before);
       if (!answer) metrics.count('intent_fetch_failed');
       if (!answer || closed || !peers.has(peer)) return;
-      level = takeAnswer(peer, answer, asked) || offset() === before;
+      isLevel = handleAnswer(peer, answer, requestedAt) || offset() === before;
     }
   };
 
-  const ask = async (peer: IntentPeer): Promise<void> => {
-    if (asking.has(peer) || closed) return;
-    asking.add(peer);
-    await askUntilLevel(peer);
-    asking.delete(peer);
+  const fetchFrom = async (peer: IntentPeer): Promise<void> => {
+    if (fetching.has(peer) || closed) return;
+    fetching.add(peer);
+    await fetchUntilLevel(peer);
+    fetching.delete(peer);
   };
 
-  const fetchGap = (peer: IntentPeer, shown: number): void => {
-    graceRuns = false;
-    if (closed || shown <= offset() || !peers.has(peer)) return;
+  const fetchGap = (peer: IntentPeer, peerOffset: number): void => {
+    isGapPending = false;
+    if (closed || peerOffset <= offset() || !peers.has(peer)) return;
     metrics.count('intent_gap_fetched');
-    void ask(peer);
+    void fetchFrom(peer);
   };
 
-  const noticed = (peer: IntentPeer, shown: number): void => {
-    freshness.peerShowed(peer, shown);
-    if (!options.detectGaps || shown <= offset() || graceRuns) return;
+  const handlePeerOffset = (peer: IntentPeer, peerOffset: number): void => {
+    freshness.recordPeerOffset(peer, peerOffset);
+    if (!options.detectGaps || peerOffset <= offset() || isGapPending) return;
     metrics.count('intent_gap_noticed');
-    graceRuns = true;
-    clock.after(options.gapGraceMs, () => fetchGap(peer, shown));
+    isGapPending = true;
+    clock.after(options.gapGraceMs, () => fetchGap(peer, peerOffset));
   };
 
-  const pick = (): IntentPeer | undefined => [...peers][Math.floor(random() * peers.size)];
+  const randomPeer = (): IntentPeer | undefined => [...peers][Math.floor(random() * peers.size)];
 
-  const wantsNews = (): boolean => {
-    const { caughtUp, confirmedMsAgo } = freshness.now();
+  const needsConfirmation = (): boolean => {
+    const { caughtUp, confirmedMsAgo } = freshness.current();
     return !caughtUp || confirmedMsAgo === undefined || confirmedMsAgo > options.pollMs;
   };
 
-  const round = (): void => {
+  const poll = (): void => {
     if (closed) return;
-    const peer = pick();
-    if (options.detectGaps && peer && wantsNews()) void ask(peer);
-    reviewVouchers();
-    freshness.review();
-    cancelRound = clock.after(options.pollMs * (0.5 + random()), round);
+    const peer = randomPeer();
+    if (options.detectGaps && peer && needsConfirmation()) void fetchFrom(peer);
+    checkPeerQuorum();
+    freshness.reportStateChange();
+    cancelPoll = clock.after(options.pollMs * (0.5 + random()), poll);
   };
 
-  cancelRound = clock.after(options.pollMs * random(), round);
+  cancelPoll = clock.after(options.pollMs * random(), poll);
 
   return {
     add: (peer) => {
       peers.add(peer);
-      if (options.detectGaps && !freshness.now().caughtUp) void ask(peer);
+      if (options.detectGaps && !freshness.current().caughtUp) void fetchFrom(peer);
     },
     remove: (peer) => {
       peers.delete(peer);
-      vouched.delete(peer);
-      freshness.peerGone(peer);
+      confirmingPeers.delete(peer);
+      freshness.removePeer(peer);
     },
-    noticed,
+    handlePeerOffset,
     close: () => {
       closed = true;
-      cancelRound();
+      cancelPoll();
     },
   };
 };
--- a/packages/intent/src/reader/peers.ts
+++ b/packages/intent/src/reader/peers.ts
@@ -1,45 +1,45 @@
-/** What nodes tell each other about the intent, and how an answer is checked. */
+/** The call with which nodes fetch intent from each other, and validation of its messages. */
 
 import { z } from 'zod';
 import { partSchema } from '../core/document/checkpoint.js';
 import type { Handover } from './replica.js';
-import type { PartName, SnapshotPart } from '../core/document/snapshot-parts.js';
+import type { PartId, SnapshotPart } from '../core/document/snapshot-parts.js';
 import { joinParts } from '../core/document/snapshot-parts.js';
 
 /** Name of the call between nodes that fetches missing records. */
 export const FETCH_METHOD = 'intent.fetch';
 
-/** How sure a node is of its intent. */
-interface Standing {
+/** How current a node's intent is. */
+interface PeerFreshness {
   /** Offset of the last record that the answering node has replayed. */
   offset: number;
   caughtUp: boolean;
-  /** How long ago the answering node's offset was known to be the newest, in milliseconds. */
+  /** How long ago the answering node's offset was last confirmed as the latest, in milliseconds. */
   confirmedMsAgo?: number;
 }
 
-/** A peer's whole answer: what the asker misses, and how sure the peer is itself. */
-export interface FetchAnswer extends Standing {
+/** A peer's complete answer: what the requesting node lacks, and how current the peer itself is. */
+export interface FetchAnswer extends PeerFreshness {
   handover: Handover;
 }
 
-/** One reply to `intent.fetch`; a state comes in parts. */
-export interface FetchReply extends Standing {
+/** One reply to `intent.fetch`; a snapshot is sent in parts. */
+export interface FetchReply extends PeerFreshness {
   handover: Exclude<Handover, { kind: 'snapshot' }> | { kind: 'part'; part: SnapshotPart };
 }
 
 /** Arguments of `intent.fetch`. */
 export interface FetchArgs {
-  /** Offset of the last record that the asker has replayed. */
+  /** Offset of the last record that the requesting node has replayed. */
   after: number;
-  /** The next part of a state whose first part has come. */
-  part?: PartName;
+  /** The next part of a snapshot whose first part has been received. */
+  part?: PartId;
 }
 
-/** Another node, as far as intent goes. */
+/** Another node from which intent can be fetched. */
 export interface IntentPeer {
   readonly name: string;
-  /** Asks for what follows offset `after`; undefined when no sound answer came. */
+  /** Fetches what follows offset `after`; undefined without a valid answer. */
   fetch(after: number): Promise<FetchAnswer | undefined>;
 }
 
@@ -62,36 +62,36 @@
   part: z.object({ asOf: z.number().int(), index: z.number().int().min(0) }).optional(),
 });
 
-const NOTHING_HELD: FetchArgs = { after: -1 };
+const FETCH_EVERYTHING: FetchArgs = { after: -1 };
 
-/** Checks the shape of a peer's reply. */
+/** Parses a reply to `intent.fetch`; undefined if it is malformed. */
 export const parseFetchReply = (value: unknown): FetchReply | undefined => {
   const checked = replySchema.safeParse(value);
   return checked.success ? checked.data : undefined;
 };
 
-/** What a caller of `intent.fetch` holds already and wants; everything when it names nothing. */
+/** Parses the arguments of `intent.fetch`; invalid ones count as a request for everything. */
 export const parseFetchArgs = (args: unknown): FetchArgs => {
   const checked = argsSchema.safeParse(args);
-  return checked.success ? checked.data : NOTHING_HELD;
+  return checked.success ? checked.data : FETCH_EVERYTHING;
 };
 
-/** Asks a peer until its answer is whole; undefined when a reply was lost or the state moved. */
-export const fetchWhole = async (
-  ask: (args: FetchArgs) => Promise<FetchReply | undefined>,
+/** Requests parts until the answer is complete; undefined if a reply was lost or the state changed in between. */
+export const fetchFullAnswer = async (
+  request: (args: FetchArgs) => Promise<FetchReply | undefined>,
   after: number,
 ): Promise<FetchAnswer | undefined> => {
-  const first = await ask({ after });
+  const first = await request({ after });
   if (!first) return undefined;
-  const { handover, ...standing } = first;
-  if (handover.kind === 'records') return { ...standing, handover };
+  const { handover, ...freshness } = first;
+  if (handover.kind === 'records') return { ...freshness, handover };
   const { asOf, count } = handover.part;
   const parts = [handover.part];
   while (parts.length < count) {
-    const next = await ask({ after, part: { asOf, index: parts.length } });
+    const next = await request({ after, part: { asOf, index: parts.length } });
     if (next?.handover.kind !== 'part') return undefined;
     parts.push(next.handover.part);
   }
   const snapshot = joinParts(parts);
-  return snapshot && { ...standing, handover: { kind: 'snapshot', snapshot } };
+  return snapshot && { ...freshness, handover: { kind: 'snapshot', snapshot } };
 };
--- a/packages/intent/src/reader/reader.ts
+++ b/packages/intent/src/reader/reader.ts
@@ -6,51 +6,51 @@
 import { createIntentWriter } from '../writer/writer.js';
 import { createFreshnessTracker } from './freshness.js';
 import { startLogFollower } from './log-follower.js';
-import { createPeerAsker } from './peer-asker.js';
+import { createPeerFetcher } from './peer-asker.js';
 import type { FetchAnswer, FetchArgs, FetchReply, IntentPeer } from './peers.js';
 import { parseFetchArgs } from './peers.js';
 import { createIntentReplica } from './replica.js';
-import type { MetCheckpoint } from './replica.js';
+import type { CheckpointInfo } from './replica.js';
 import { partOf } from '../core/document/snapshot-parts.js';
 import { createOffsetWaiters } from './waiters.js';
 import type { IntentSnapshot } from '../core/document/aggregate.js';
 
-/** Times and bounds of a reader. */
+/** Times and limits of a reader. */
 export interface IntentReaderLimits {
   /** Long-poll wait of a log read, in milliseconds. */
   readWaitMs: number;
-  /** Longest wait between tries while the log is down, in milliseconds. */
-  retryMaxMs: number;
+  /** Longest retry delay while the log is down, in milliseconds. */
+  maxRetryDelayMs: number;
   /** Without a confirmation for this long the intent counts as stale, in milliseconds. */
   staleAfterMs: number;
-  /** Time that the log gets to bring a record before a gap is fetched from a peer. */
+  /** Time for a missing record to arrive from the log before it is fetched from a peer, in milliseconds. */
   gapGraceMs: number;
-  /** Time between questions to a peer while the log confirms nothing, in milliseconds. */
+  /** Mean interval of polling a peer while the log doesn't confirm the offset, in milliseconds. */
   peerPollMs: number;
-  /** Time for more peers to be heard when a node starts without the log, in milliseconds. */
-  peerSettleMs: number;
-  /** Records kept for peers. */
+  /** Time to wait for more peers when a node starts without the log, in milliseconds. */
+  peerQuorumWaitMs: number;
+  /** Number of recent records kept for peers. */
   historyLimit: number;
-  /** Most records in one answer to a peer. */
-  answerRecords: number;
-  /** Time for a submission to be read back, in milliseconds. */
-  submitMs: number;
+  /** Largest number of records in one answer to a peer. */
+  maxAnswerRecords: number;
+  /** Timeout of a submission, from append to read-back, in milliseconds. */
+  submitTimeoutMs: number;
 }
 
-/** Limits that suit nodes with about a millisecond between them. */
+/** Default limits, for nodes with a network latency of about a millisecond. */
 export const defaultIntentLimits: IntentReaderLimits = {
   readWaitMs: 2_000,
-  retryMaxMs: 2_000,
+  maxRetryDelayMs: 2_000,
   staleAfterMs: 5_000,
   gapGraceMs: 50,
   peerPollMs: 1_000,
-  peerSettleMs: 1_000,
+  peerQuorumWaitMs: 1_000,
   historyLimit: 1_024,
-  answerRecords: 256,
-  submitMs: 8_000,
+  maxAnswerRecords: 256,
+  submitTimeoutMs: 8_000,
 };
 
-/** What a reader needs. */
+/** Options of `createIntentReader`. */
 export interface IntentReaderOptions {
   log: Log;
   clock: Clock;
@@ -58,23 +58,23 @@
   metrics: Metrics;
   logger: Logger;
   limits?: Partial<IntentReaderLimits>;
-  /** `peers`: the log is read only while no peer confirms the intent; for the many agents. */
+  /** `peers`: reads the log only while no peer confirms the intent. For agents, as there are many of them. */
   follow?: 'log' | 'peers';
-  /** False turns the fetching of gaps from peers off, to measure what it brings. */
+  /** False turns fetching from peers off, to compare runs with and without it. */
   detectGaps?: boolean;
 }
 
-/** A reader with its side towards peers and towards the checkpointer. */
+/** A reader with its interfaces for peers and for the checkpointer. */
 export interface IntentNode extends IntentReader {
-  /** Answers `intent.fetch` of a peer. */
+  /** Answers a peer's `intent.fetch` call. */
   serveFetch(args: unknown): FetchReply;
   addPeer(peer: IntentPeer): void;
   removePeer(peer: IntentPeer): void;
-  /** A frame of the peer carried this offset. */
-  noticeOffset(peer: IntentPeer, offset: number): void;
+  /** Handles the offset in a frame of a peer. */
+  handlePeerOffset(peer: IntentPeer, offset: number): void;
   snapshot(): IntentSnapshot;
-  /** The newest checkpoint met in the log. */
-  checkpoint(): MetCheckpoint | undefined;
+  /** The latest checkpoint found in the log. */
+  checkpoint(): CheckpointInfo | undefined;
   /** Wall-clock time of the first change that this node replayed, in milliseconds. */
   firstRecordAt(): number | undefined;
 }
@@ -99,61 +99,61 @@
     logger,
     staleAfterMs: limits.staleAfterMs,
     offset,
-    scanning: replica.scanning,
+    isScanning: replica.isScanning,
   });
 
-  const tellIfMoved = (before: number): void => {
+  const notifyIfAdvanced = (before: number): void => {
     if (offset() === before) return;
-    waiters.reached(offset());
+    waiters.advanceTo(offset());
     listeners.forEach((fn) => fn(view()));
   };
 
-  const takeRecords = (records: LogRecord[]): void => {
+  const applyRecords = (records: LogRecord[]): void => {
     const before = offset();
-    replica.takeFromLog(records);
-    tellIfMoved(before);
+    replica.applyLogRecords(records);
+    notifyIfAdvanced(before);
   };
 
-  const takeAnswer = (answer: FetchAnswer): void => {
+  const applyAnswer = (answer: FetchAnswer): void => {
     const before = offset();
-    replica.takeFromPeer(answer.handover);
+    replica.applyHandover(answer.handover);
     if (offset() > before) metrics.count('intent_records_from_peers', {}, offset() - before);
-    tellIfMoved(before);
+    notifyIfAdvanced(before);
   };
 
-  const confirmedByPeers = (): boolean => {
-    const { caughtUp, behind, confirmedMsAgo } = freshness.now();
+  const isConfirmedByPeers = (): boolean => {
+    const { caughtUp, behind, confirmedMsAgo } = freshness.current();
     return caughtUp && behind === 0 && (confirmedMsAgo ?? Infinity) <= limits.staleAfterMs;
   };
 
   const follower = startLogFollower({
     ...{ log, clock, random, metrics, replica, freshness },
-    take: takeRecords,
+    applyRecords,
     readWaitMs: limits.readWaitMs,
-    retryMaxMs: limits.retryMaxMs,
-    isNeeded: () => options.follow !== 'peers' || !confirmedByPeers(),
+    maxRetryDelayMs: limits.maxRetryDelayMs,
+    isNeeded: () => options.follow !== 'peers' || !isConfirmedByPeers(),
   });
 
-  const asker = createPeerAsker({
+  const peerFetcher = createPeerFetcher({
     ...{ clock, random, metrics, replica, freshness },
-    take: takeAnswer,
+    applyAnswer,
     gapGraceMs: limits.gapGraceMs,
     pollMs: limits.peerPollMs,
-    settleMs: limits.peerSettleMs,
+    quorumWaitMs: limits.peerQuorumWaitMs,
     detectGaps: options.detectGaps ?? true,
   });
 
   const handoverTo = ({ after, part }: FetchArgs): FetchReply['handover'] => {
-    const handover = replica.handover(after, limits.answerRecords);
+    const handover = replica.handover(after, limits.maxAnswerRecords);
     if (handover.kind === 'records') return handover;
     const { snapshot } = handover;
-    // Of a state that has moved on meanwhile only the first part makes sense; the asker notices.
+    // If the snapshot has changed since the first part, its part 0 is sent, and the peer starts over.
     const index = part?.asOf === snapshot.asOf ? part.index : 0;
     return { kind: 'part', part: partOf(snapshot, index) };
   };
 
   const serveFetch = (args: unknown): FetchReply => {
-    const { caughtUp, confirmedMsAgo } = freshness.now();
+    const { caughtUp, confirmedMsAgo } = freshness.current();
     return {
       handover: handoverTo(parseFetchArgs(args)),
       offset: offset(),
@@ -165,14 +165,14 @@
   const writer = createIntentWriter({
     ...{ log, clock, random, metrics },
     aggregate: replica.aggregate,
-    reached: waiters.wait,
-    wake: follower.wake,
-    submitMs: limits.submitMs,
+    waitForOffset: waiters.wait,
+    retryNow: follower.retryNow,
+    submitTimeoutMs: limits.submitTimeoutMs,
   });
 
   return {
     current: view,
-    freshness: freshness.now,
+    freshness: freshness.current,
     onChange: (fn) => {
       listeners.add(fn);
       return () => listeners.delete(fn);
@@ -184,13 +184,13 @@
       }),
     close: async () => {
       follower.close();
-      asker.close();
+      peerFetcher.close();
       waiters.close();
     },
     serveFetch,
-    addPeer: asker.add,
-    removePeer: asker.remove,
-    noticeOffset: asker.noticed,
+    addPeer: peerFetcher.add,
+    removePeer: peerFetcher.remove,
+    handlePeerOffset: peerFetcher.handlePeerOffset,
     snapshot: () => replica.aggregate().snapshot(),
     checkpoint: replica.checkpoint,
     firstRecordAt: replica.firstRecordAt,
--- a/packages/intent/src/reader/replica.ts
+++ b/packages/intent/src/reader/replica.ts
@@ -1,20 +1,20 @@
-/** One node's copy of the intent: the aggregate, the newest records for peers, and the way back. */
+/** One node's copy of the intent: the aggregate, recent records for peers, and recovery from a checkpoint. */
 
 import type { LogRecord } from '@plantaindrum/service-clients';
 import type { IntentAggregate, IntentSnapshot, ReplayStep } from '../core/document/aggregate.js';
 import { createIntentAggregate } from '../core/document/aggregate.js';
-import type { CheckpointMark, WholeCheckpoint } from '../core/document/checkpoint.js';
+import type { CheckpointMark, CompleteCheckpoint } from '../core/document/checkpoint.js';
 import { batchOf } from '../core/document/snapshot-parts.js';
 import { createCheckpointCollector, isCheckpoint, parseMark } from '../core/document/checkpoint.js';
 
-/** The newest checkpoint that this reader met in the log. */
-export interface MetCheckpoint {
+/** The latest checkpoint that this reader has found in the log. */
+export interface CheckpointInfo {
   asOf: number;
   /** Wall-clock time at which it was made, in milliseconds. */
   at: number;
 }
 
-/** Records after an offset, or the whole state when the history no longer reaches back to it. */
+/** Records after an offset, or a full snapshot if the history no longer reaches back to it. */
 export type Handover =
   | { kind: 'records'; records: LogRecord[]; through: number }
   | { kind: 'snapshot'; snapshot: IntentSnapshot };
@@ -22,26 +22,26 @@
 /** One node's copy of the intent. */
 export interface IntentReplica {
   aggregate(): IntentAggregate;
-  /** Offset from which the log is to be read next. */
-  nextFromLog(): number;
-  /** Whether records are missing that the log no longer holds; a checkpoint or a peer is needed. */
-  scanning(): boolean;
-  /** The log begins at `beginning`, beyond what this replica needs next. */
+  /** Offset of the next record to read from the log. */
+  nextLogOffset(): number;
+  /** Whether this replica lacks records that the log no longer holds, so that it needs a checkpoint or a peer. */
+  isScanning(): boolean;
+  /** Starts looking for a checkpoint, as the log begins at `beginning`, after the record needed next. */
   startScan(beginning: number): void;
-  /** Takes records read from the log at `nextFromLog()`. */
-  takeFromLog(records: LogRecord[]): void;
-  /** Takes what a peer handed over; what is already known is skipped. */
-  takeFromPeer(handover: Handover): void;
-  /** What a peer that holds everything up to `after` is missing. */
+  /** Applies records read from the log at `nextLogOffset()`. */
+  applyLogRecords(records: LogRecord[]): void;
+  /** Applies a peer's handover; skips what is already known. */
+  applyHandover(handover: Handover): void;
+  /** What a peer that has everything up to `after` lacks, with at most `limit` records. */
   handover(after: number, limit: number): Handover;
-  checkpoint(): MetCheckpoint | undefined;
+  checkpoint(): CheckpointInfo | undefined;
   /** Wall-clock time of the first change that this replica replayed, in milliseconds. */
   firstRecordAt(): number | undefined;
 }
 
-/** Bounds and notices of a replica. */
+/** Options of `createIntentReplica`. */
 export interface IntentReplicaOptions {
-  /** Newest records that are kept for peers. */
+  /** Number of recent records that are kept for peers. */
   historyLimit: number;
   onStep: (step: ReplayStep, record: LogRecord) => void;
 }
@@ -51,16 +51,16 @@
   records: LogRecord[];
 }
 
-const timeOf = ({ value }: LogRecord): number | undefined => {
+const timestampOf = ({ value }: LogRecord): number | undefined => {
   const at = (value as { at?: unknown } | null)?.at;
   return typeof at === 'number' ? at : undefined;
 };
 
-const markOf = (whole: WholeCheckpoint | undefined): CheckpointMark | undefined =>
-  whole && { kind: 'checkpoint-mark', asOf: whole.snapshot.asOf, at: whole.at };
+const markOf = (checkpoint: CompleteCheckpoint | undefined): CheckpointMark | undefined =>
+  checkpoint && { kind: 'checkpoint-mark', asOf: checkpoint.snapshot.asOf, at: checkpoint.at };
 
-/** A peer that is level with this node has no use for the state itself. */
-const slim = (record: LogRecord, mark: CheckpointMark | undefined): LogRecord =>
+/** Replaces a checkpoint's state by a mark: a peer that is served records already has that state. */
+const stripCheckpoint = (record: LogRecord, mark: CheckpointMark | undefined): LogRecord =>
   mark || isCheckpoint(record.value) ? { offset: record.offset, value: mark ?? null } : record;
 
 /** Creates an empty replica. */
@@ -72,8 +72,8 @@
   /** Every record after this offset, up to the aggregate's, is in `history`. */
   let historyAfter = -1;
   let scan: Scan | undefined;
-  let met: MetCheckpoint | undefined;
-  let frozen: IntentSnapshot | undefined;
+  let latestCheckpoint: CheckpointInfo | undefined;
+  let pinned: IntentSnapshot | undefined;
   let firstRecordAt: number | undefined;
 
   const trimHistory = (): void => {
@@ -83,32 +83,32 @@
     history = history.slice(surplus);
   };
 
-  /** A checkpoint may land after one that covers more. */
-  const noteMark = ({ asOf, at }: CheckpointMark): void => {
-    if (!met || asOf > met.asOf) met = { asOf, at };
+  /** Keeps the checkpoint that covers most: an older one may be appended after it. */
+  const recordMark = ({ asOf, at }: CheckpointMark): void => {
+    if (!latestCheckpoint || asOf > latestCheckpoint.asOf) latestCheckpoint = { asOf, at };
   };
 
-  const replayOne = (record: LogRecord): void => {
+  const replayRecord = (record: LogRecord): void => {
     if (record.offset <= aggregate.offset()) return;
     const step = aggregate.replay(record.offset, record.value);
-    firstRecordAt ??= timeOf(record);
-    const mark = parseMark(record.value) ?? markOf(collector.take(record));
-    if (mark) noteMark(mark);
-    history.push(slim(record, mark));
+    firstRecordAt ??= timestampOf(record);
+    const mark = parseMark(record.value) ?? markOf(collector.add(record));
+    if (mark) recordMark(mark);
+    history.push(stripCheckpoint(record, mark));
     options.onStep(step, record);
   };
 
   /**
-   * A state that was handed over lately serves again while the history reaches back to it: peers
-   * fetch its parts one by one, and it must not move under them.
+   * Peers fetch the parts of a snapshot one by one, so the same snapshot is handed over as long as
+   * the history reaches back to it.
    */
-  const frozenState = (): IntentSnapshot => {
-    if (!frozen || frozen.asOf < historyAfter) frozen = aggregate.snapshot();
-    return frozen;
+  const handoverSnapshot = (): IntentSnapshot => {
+    if (!pinned || pinned.asOf < historyAfter) pinned = aggregate.snapshot();
+    return pinned;
   };
 
-  const replay = (records: LogRecord[]): void => {
-    records.forEach(replayOne);
+  const replayAll = (records: LogRecord[]): void => {
+    records.forEach(replayRecord);
     trimHistory();
   };
 
@@ -118,59 +118,59 @@
     historyAfter = snapshot.asOf;
   };
 
-  /** The records between a checkpoint's as-of offset and itself must all be there to be replayed. */
+  /** All records between a checkpoint's as-of offset and the checkpoint itself are needed for replay. */
   const isUsable = (snapshot: IntentSnapshot, { beginning }: Scan): boolean =>
     snapshot.asOf + 1 >= beginning && snapshot.asOf > aggregate.offset();
 
-  const scanOne = (record: LogRecord, current: Scan): void => {
+  const scanRecord = (record: LogRecord, current: Scan): void => {
     current.records.push(record);
-    const snapshot = scanCollector.take(record)?.snapshot;
+    const snapshot = scanCollector.add(record)?.snapshot;
     if (!snapshot || !isUsable(snapshot, current)) return;
     scan = undefined;
     restore(snapshot);
-    replay(current.records);
+    replayAll(current.records);
   };
 
-  const takeOne = (record: LogRecord): void => {
+  const applyLogRecord = (record: LogRecord): void => {
     if (scan) {
-      scanOne(record, scan);
+      scanRecord(record, scan);
       return;
     }
-    replay([record]);
+    replayAll([record]);
   };
 
-  /** A peer may have filled the hole that a scan was started for. */
-  const endScanIfReached = (): void => {
+  /** Ends the scan if a peer has filled the gap that it was started for. */
+  const endScanIfFilled = (): void => {
     if (!scan || aggregate.offset() + 1 < scan.beginning) return;
     const { records } = scan;
     scan = undefined;
-    replay(records);
+    replayAll(records);
   };
 
   return {
     aggregate: () => aggregate,
-    nextFromLog: () => {
+    nextLogOffset: () => {
       const last = scan?.records.at(-1)?.offset;
       return last === undefined ? (scan?.beginning ?? aggregate.offset() + 1) : last + 1;
     },
-    scanning: () => scan !== undefined,
+    isScanning: () => scan !== undefined,
     startScan: (beginning) => {
       scan = { beginning, records: [] };
     },
-    takeFromLog: (records) => records.forEach(takeOne),
-    takeFromPeer: (handover) => {
-      if (handover.kind === 'records') replay(handover.records);
+    applyLogRecords: (records) => records.forEach(applyLogRecord),
+    applyHandover: (handover) => {
+      if (handover.kind === 'records') replayAll(handover.records);
       else if (handover.snapshot.asOf > aggregate.offset()) restore(handover.snapshot);
-      endScanIfReached();
+      endScanIfFilled();
     },
     handover: (after, limit) => {
-      if (after < historyAfter) return { kind: 'snapshot', snapshot: frozenState() };
+      if (after < historyAfter) return { kind: 'snapshot', snapshot: handoverSnapshot() };
       const missing = history.filter((record) => record.offset > after);
       const records = batchOf(missing, limit);
       const through = records.length < missing.length ? records.at(-1)?.offset : undefined;
       return { kind: 'records', records, through: through ?? aggregate.offset() };
     },
-    checkpoint: () => met,
+    checkpoint: () => latestCheckpoint,
     firstRecordAt: () => firstRecordAt,
   };
 };
--- a/packages/intent/src/reader/waiters.ts
+++ b/packages/intent/src/reader/waiters.ts
@@ -1,11 +1,12 @@
 import type { Clock } from '@plantaindrum/common';
 
-/** Waits for an offset to be replayed. */
+/** Lets callers wait until an offset has been replayed. */
 export interface OffsetWaiters {
-  /** True once `offset` is reached, false when `ms` milliseconds passed first. */
+  /** Resolves to true once `offset` is replayed, to false after `ms` milliseconds. */
   wait(offset: number, ms: number): Promise<boolean>;
-  reached(offset: number): void;
-  /** Ends every wait as not reached. */
+  /** Resolves the waits for offsets up to this one. */
+  advanceTo(offset: number): void;
+  /** Resolves all pending waits to false. */
   close(): void;
 }
 
@@ -14,14 +15,14 @@
   settle: (reached: boolean) => void;
 }
 
-/** Creates waiters that start before any offset is reached. */
+/** Creates waiters; no offset has been replayed yet. */
 export const createOffsetWaiters = (clock: Clock): OffsetWaiters => {
   const waiters = new Set<Waiter>();
-  let last = -1;
+  let lastReached = -1;
 
   const wait: OffsetWaiters['wait'] = (offset, ms) =>
     new Promise((resolve) => {
-      if (offset <= last) {
+      if (offset <= lastReached) {
         resolve(true);
         return;
       }
@@ -37,9 +38,11 @@
 
   return {
     wait,
-    reached: (offset) => {
-      last = Math.max(last, offset);
-      [...waiters].filter((waiter) => waiter.offset <= last).forEach(({ settle }) => settle(true));
+    advanceTo: (offset) => {
+      lastReached = Math.max(lastReached, offset);
+      [...waiters]
+        .filter((waiter) => waiter.offset <= lastReached)
+        .forEach(({ settle }) => settle(true));
     },
     close: () => [...waiters].forEach(({ settle }) => settle(false)),
   };
--- a/packages/intent/src/types.ts
+++ b/packages/intent/src/types.ts
@@ -1,32 +1,32 @@
 import { z } from 'zod';
 
-/** Everything that operators can declare, with defaults and units. */
+/** A class of work with its target. */
 export const classSchema = z.strictObject({
-  /** The answer (or first token, for streams) may be at most this late, in milliseconds. */
+  /** Deadline of the answer (for streams, of the first token), in milliseconds from the request. */
   latestAnswerMs: z.number().int().positive(),
   /** The share of requests to be served within the target, 0 to 1. */
   share: z.number().min(0).max(1).default(0.95),
-  /** The priority lane goes before every other class. */
+  /** `live` is served before every other class. */
   priority: z.enum(['live', 'normal', 'background']).default('normal'),
-  /** Calls of this class are never dispatched twice. */
+  /** Requests of this class are never dispatched twice. */
   mayNotRepeat: z.boolean().default(false),
 });
 
-/** An organisation, known by the SHA-256 hashes (hex) of its API keys. */
+/** An organisation, identified by the SHA-256 hashes (hex) of its API keys. */
 export const organisationSchema = z.strictObject({
   keyHashes: z.array(z.string().regex(/^[0-9a-f]{64}$/)).default([]),
-  /** The class of a request that names none. */
+  /** The class of requests that don't name one. */
   defaultClass: z.string().optional(),
 });
 
-/** A route from a path prefix at the callers' door to a plain service. */
+/** A route from a path prefix of the caller server to a plain service. */
 export const routeSchema = z.strictObject({
   pathPrefix: z.string().startsWith('/'),
   service: z.string(),
   class: z.string(),
 });
 
-/** What matters more when expert groups are balanced. */
+/** What takes precedence when expert groups are balanced. */
 export const balanceSchema = z.strictObject({
   weighs: z.enum(['skew', 'rebalancing-cost']).default('skew'),
 });
@@ -36,7 +36,7 @@
   state: z.enum(['serving', 'stopped']).default('serving'),
 });
 
-/** The whole of the operators' intent. */
+/** The operators' intent: everything that they can declare, with defaults. */
 export const intentDocumentSchema = z.strictObject({
   classes: z.record(z.string(), classSchema).default({}),
   organisations: z.record(z.string(), organisationSchema).default({}),
@@ -47,17 +47,17 @@
 
 /** The validated intent document. */
 export type IntentDocument = z.infer<typeof intentDocumentSchema>;
-/** A class of work with its target. */
+/** A validated class. */
 export type ClassIntent = z.infer<typeof classSchema>;
-/** An organisation's declaration. */
+/** A validated organisation. */
 export type OrganisationIntent = z.infer<typeof organisationSchema>;
-/** A route's declaration. */
+/** A validated route. */
 export type RouteIntent = z.infer<typeof routeSchema>;
 
 /** A key of the document: section and name, for example `classes/live-sale`. */
 export type IntentKey = `${keyof IntentDocument}/${string}`;
 
-/** One key's change; `base` is the version (offset) it was made from, -1 for a new key. */
+/** A change of one key; `base` is the version (offset) that it was made from, -1 for a new key. */
 export interface IntentChange {
   key: IntentKey;
   base: number;
@@ -68,7 +68,7 @@
 /** A record of the intent topic. */
 export interface IntentRecord {
   kind: 'change';
-  /** Unique id, so that an append whose answer was lost can be looked up. */
+  /** Unique id, by which an append whose answer was lost can be looked up. */
   id: string;
   author: string;
   at: number;
@@ -84,31 +84,31 @@
   versions: Readonly<Record<string, number>>;
 }
 
-/** What an operator sends; `id` and `author` are the operator's. */
+/** A change as an operator submits it, with the operator's own `id` and `author`. */
 export type IntentSubmission = Pick<IntentRecord, 'id' | 'author' | 'changes'>;
 
-/** A key whose version was no longer the one that a change was made from. */
+/** A key whose current version differs from the base of a change. */
 export interface IntentConflict {
   key: string;
   base: number;
-  /** The version that won; -1 when the key does not exist. */
+  /** The current version; -1 if the key does not exist. */
   version: number;
-  /** Who made the version that won, where it is still known. */
+  /** Author of the current version, if still known. */
   author?: string;
 }
 
-/** What became of a submission; `accepted` only once the record is read back and valid on replay. */
+/** Outcome of a submission. `accepted` only once the record has been read back and is valid on replay. */
 export type SubmitOutcome =
   | { outcome: 'accepted'; version: number }
   | { outcome: 'conflict'; conflicts: IntentConflict[] }
   | { outcome: 'invalid'; faults: string[] }
   | { outcome: 'unknown'; id: string };
 
-/** Whether a node knows that its intent is the newest. */
+/** Whether a node's intent is known to be the latest. */
 export interface IntentFreshness {
   /** The log's end, or a peer's offset, has been reached at least once since the start. */
   caughtUp: boolean;
-  /** Milliseconds since the log or a peer last confirmed the offset; undefined when never. */
+  /** Milliseconds since the log or a peer last confirmed the offset; undefined if never. */
   confirmedMsAgo?: number;
   /** Records known to exist beyond the node's offset. */
   behind: number;
@@ -118,12 +118,12 @@
 }
 
 /**
- * How far a node can vouch for its intent: `starting` has never reached the newest offset; `fresh`
- * had it confirmed lately; `stale` still hears from peers; `isolated` hears from nobody.
+ * How current a node's intent is: `starting` has never reached the latest offset; `fresh` had it
+ * confirmed recently; `stale` still gets answers from peers; `isolated` gets none.
  */
 export type IntentState = 'starting' | 'fresh' | 'stale' | 'isolated';
 
-/** What keeps a node's intent from being known as the newest. */
+/** Why a node's intent isn't known to be the latest. */
 export type IntentStaleReason =
   | 'replaying'
   | 'behind-peer'
@@ -136,9 +136,9 @@
 export interface IntentReader {
   current(): IntentView;
   freshness(): IntentFreshness;
-  /** Runs `fn` after every change of the view; the returned function ends that. */
+  /** Calls `fn` after every change of the view, until the returned function is called. */
   onChange(fn: (view: IntentView) => void): () => void;
-  /** Appends a change and waits until it is read back. Asking again with the same id is safe. */
+  /** Appends a change and waits until it is read back. Repeating it with the same id is safe. */
   submit(submission: IntentSubmission): Promise<SubmitOutcome>;
   /** Resolves once `freshness().caughtUp` holds. */
   ready(): Promise<void>;
--- a/packages/intent/src/writer/checkpointer.ts
+++ b/packages/intent/src/writer/checkpointer.ts
@@ -1,9 +1,9 @@
 /**
- * Writes checkpoints before retention removes the records that a starting node needs.
+ * Writes checkpoints before retention deletes the records that a starting node needs.
  *
  * Every entry runs this; there is no leader. When a checkpoint is due each node waits for a random
- * time and looks again, so one of them writes it and the others find it there. Two at once do no
- * harm, since a reader takes a checkpoint only to move forward.
+ * time and checks again, so usually one of them writes it and the others find it in the log. Two
+ * at once do no harm, since a reader uses a checkpoint only to move forward.
  */
 
 import { randomUUID } from 'node:crypto';
@@ -13,7 +13,7 @@
 import { INTENT_PARTITION, INTENT_TOPIC } from '../reader/log-follower.js';
 import type { IntentNode } from '../reader/reader.js';
 
-/** What a checkpointer works on. */
+/** Options of `startCheckpointer`. */
 export interface CheckpointerOptions {
   node: IntentNode;
   log: Log;
@@ -22,7 +22,7 @@
   metrics: Metrics;
   /** How long the log keeps a record, in milliseconds. */
   retentionMs: number;
-  /** A checkpoint is also due after this many records, so that a start replays no more. */
+  /** A checkpoint is also due after this many records, which bounds what a starting node replays. */
   recordsBetween?: number;
 }
 
@@ -31,30 +31,30 @@
   close(): void;
 }
 
-/** `lost`: the log holds no checkpoint that a node could start from. */
+/** Whether a checkpoint is needed. `lost`: the log no longer holds what a node needs to start. */
 type Need = 'none' | 'due' | 'lost';
 
 const RECORDS_BETWEEN = 1_000;
-const LONGEST_ROUND_MS = 60_000;
-/** Spread of the nodes that find no usable checkpoint after an outage. */
+const MAX_CHECK_INTERVAL_MS = 60_000;
+/** Spread of the nodes' writes when the log holds no usable checkpoint, as after an outage, in milliseconds. */
 const LOST_SPREAD_MS = 5_000;
 
 /** Starts writing checkpoints when they are due. */
 export const startCheckpointer = (options: CheckpointerOptions): Checkpointer => {
   const { node, log, clock, random, metrics, retentionMs } = options;
   const recordsBetween = options.recordsBetween ?? RECORDS_BETWEEN;
-  const roundMs = Math.min(LONGEST_ROUND_MS, retentionMs / 16);
+  const checkIntervalMs = Math.min(MAX_CHECK_INTERVAL_MS, retentionMs / 16);
   let closed = false;
   let cancel = (): void => {};
 
   const needNow = (beginning: number): Need => {
     const { offset } = node.current();
     if (offset < 0 || node.freshness().state !== 'fresh') return 'none';
-    const met = node.checkpoint();
-    const covered = met ? met.asOf : -1;
+    const latest = node.checkpoint();
+    const covered = latest ? latest.asOf : -1;
     if (covered + 1 < beginning) return 'lost';
     if (offset - covered >= recordsBetween) return 'due';
-    const since = met?.at ?? node.firstRecordAt();
+    const since = latest?.at ?? node.firstRecordAt();
     return since !== undefined && clock.now() - since >= retentionMs / 4 ? 'due' : 'none';
   };
 
@@ -63,10 +63,10 @@
     return range.ok ? needNow(range.value.beginning) : 'none';
   };
 
-  /** A checkpoint that is not whole is of no use to anybody, so the rest is given up. */
+  /** Stops at the first failed append, as an incomplete checkpoint can't be used. */
   const write = async (): Promise<void> => {
-    const names = { id: randomUUID(), at: clock.now() };
-    for (const record of checkpointRecords(node.snapshot(), names)) {
+    const identity = { id: randomUUID(), at: clock.now() };
+    for (const record of checkpointRecords(node.snapshot(), identity)) {
       const appended = await log.append(INTENT_TOPIC, INTENT_PARTITION, [record]);
       if (!appended.ok) {
         metrics.count('intent_checkpoint', { outcome: appended.err.kind });
@@ -87,7 +87,7 @@
 
   const run = async (): Promise<void> => {
     while (!closed) {
-      await wait(roundMs * (0.5 + random()));
+      await wait(checkIntervalMs * (0.5 + random()));
       const first = closed ? 'none' : await need();
       if (first === 'none') continue;
       await wait(random() * (first === 'lost' ? LOST_SPREAD_MS : retentionMs / 8));
--- a/packages/intent/test/checkpoint.test.ts
+++ b/packages/intent/test/checkpoint.test.ts
@@ -45,10 +45,10 @@
     return checkpointer;
   };
 
-  // A node takes a checkpoint, is slow to append it, and two operators change the key in between.
-  // The stale checkpoint lands last. Readers that run skip it; a reader that starts from it also
-  // replays the records that followed its as-of offset, so the newer changes stand at both.
-  it('cannot undo a newer change by landing late', async () => {
+  // A node is slow to append a checkpoint, and the key is changed twice in between, so the stale
+  // checkpoint comes last. Running readers skip it. A reader that starts from it also replays the
+  // records after its as-of offset, so both have the newer changes.
+  it('cannot undo a newer change when it is appended late', async () => {
     await submitTargets(100);
     const stale = checkpointNow();
     await submitTargets(200, 300);
@@ -61,9 +61,10 @@
     expect(started.node.freshness()).to.include({ caughtUp: true, behind: 0 });
   });
 
-  // Retention has removed a record between the checkpoint's as-of offset and the checkpoint. A
-  // reader that took it would miss that change for ever, so it waits for a better one, not ready.
-  it('is not taken when records after its as-of offset are gone', async () => {
+  // Retention has deleted a record between the checkpoint's as-of offset and the checkpoint. A
+  // reader that started from it would miss that change for good, so it stays unready until a later
+  // checkpoint.
+  it('is not used when records after its as-of offset have been deleted', async () => {
     await submitTargets(100);
     const stale = checkpointNow();
     await submitTargets(200, 300);
@@ -81,9 +82,9 @@
     expect(started.node.freshness().caughtUp).to.equal(true);
   });
 
-  // The state is larger than a record, so a checkpoint lands in parts, one of them twice, with a change in
-  // between. A reader that starts waits for the last part, and replays the change.
-  it('is taken once its last part has landed, with the changes between its parts', async () => {
+  // The state is larger than a record, so a checkpoint is appended in parts, one of them twice, with a change
+  // in between. A starting reader waits for the last part, and replays the change.
+  it('is used once its last part is appended, with the changes between its parts', async () => {
     await submitTargets(100);
     await submitAt(fleet, a, 'other', changeClass('batch', -1, 500));
     const parts = checkpointNow(1);
@@ -101,7 +102,7 @@
     expect(targetAt(started, 'live')).to.equal(200);
   });
 
-  it('is not taken from parts of two writers', async () => {
+  it('is not assembled from parts of two writers', async () => {
     await submitTargets(100);
     await submitAt(fleet, a, 'other', changeClass('batch', -1, 500));
     fleet.log.expire(2);
@@ -124,7 +125,7 @@
     expect(fleet.log.records.at(-1)?.value).to.have.property('kind', 'checkpoint');
   });
 
-  it('is written after so many records, however young they are', async () => {
+  it('is written after a number of records, however recent they are', async () => {
     checkpointAt(a, 3);
     await submitTargets(100, 200);
     await fleet.run(2 * HOUR - 300_000);
@@ -134,9 +135,9 @@
     expect([before, fleet.log.end()]).to.deep.equal([2, 4]);
   });
 
-  // The log is down for longer than it keeps records, and comes back with none. The nodes that run
-  // still hold the intent and write it down at once, so a node that starts later can be ready.
-  it('is written at once when an outage outlasted the retention', async () => {
+  // The log is down for longer than its retention and comes back empty. The running nodes still hold
+  // the intent and write a checkpoint at once, so that a node that starts later can become ready.
+  it('is written at once after an outage longer than the retention', async () => {
     await submitTargets(100);
     checkpointAt(a);
     fleet.log.faults.down = true;
--- a/packages/intent/test/membership.test.ts
+++ b/packages/intent/test/membership.test.ts
@@ -23,9 +23,9 @@
     ['a', 'b', 'c'].forEach((name) => membership.linked(name, `${name}1`));
   });
 
-  // The agent announces that it leaves; the list shows it as live for another while. The entry must
-  // send nothing new from the announcement on, and a process that replaces it starts afresh.
-  it('believes the announcement of a leaving VM before the list', () => {
+  // An agent announces that it is leaving while the list still shows its VM as live. The entry must
+  // send it no new work from then on; a process that replaces it is usable again.
+  it('prefers the announcement of a leaving VM over the list', () => {
     membership.announcedLeaving('a', 'a1');
     membership.listed([vm('a'), vm('b'), vm('c')]);
     expect(membership.standing('a')).to.equal('leaving');
@@ -34,7 +34,7 @@
     expect(membership.standing('a')).to.equal('usable');
   });
 
-  it('ignores what an ended link still says of an instance', () => {
+  it('ignores late events of a closed link', () => {
     membership.unlinked('a', 'a1');
     membership.linked('a', 'a2');
     membership.announcedLeaving('a', 'a1');
@@ -42,22 +42,22 @@
     expect(membership.standing('a')).to.equal('usable');
   });
 
-  it('believes the list where it says that a VM leaves', () => {
+  it('gives no new work to a VM that the list shows as leaving', () => {
     membership.listed([vm('a', 'leaving'), vm('b'), vm('c')]);
     expect(membership.standing('a')).to.equal('leaving');
   });
 
-  // A VM dies without a word and the list shows it for a minute. No link, no work; it is dialled on,
-  // since the list may be right and the network at fault.
-  it('gives nothing to a dead VM that the list still shows', () => {
+  // A VM dies unannounced and the list shows it for another minute. Without a link it gets no work;
+  // it is still dialled, since the fault may be the network's.
+  it('gives no work to a dead VM that the list still shows', () => {
     membership.unlinked('a', 'a1');
     membership.listed([vm('a'), vm('b'), vm('c')]);
     expect(membership.standing('a')).to.equal('unlinked');
     expect(membership.shouldDial('a')).to.equal(true);
   });
 
-  // The list drops a VM whose link is up: a hiccup of one reading, or the first sign of its end.
-  it('stops new work for a VM that the list forgot, after two readings', async () => {
+  // The list drops a VM whose link is up: either a fault of one list, or the VM is about to stop.
+  it('gives no new work to a VM that two lists in a row have dropped', async () => {
     membership.listed([vm('b'), vm('c')]);
     expect(membership.standing('a')).to.equal('usable');
     await clock.advance(1_500);
@@ -70,9 +70,9 @@
     expect(membership.standing('a')).to.equal(undefined);
   });
 
-  // The platform's list comes back empty after a fault of its own, while all VMs answer. Believing
-  // it would refuse every request of every caller.
-  it('does not believe a list that lost most VMs at once', async () => {
+  // After a fault of the platform its list is empty while all VMs answer. Applying it would make
+  // entries reject every request.
+  it('ignores the removals of a list that dropped most VMs at once', async () => {
     membership.listed([]);
     await clock.advance(60_000);
     expect(membership.members().map(({ standing }) => standing)).to.deep.equal(
@@ -81,12 +81,12 @@
     expect(metrics.counter('vm_list_not_believed')).to.equal(1);
   });
 
-  it('starts afresh with a VM of the same name at another address', () => {
+  it('treats a VM of the same name at another address as a new one', () => {
     membership.listed([{ ...vm('a'), address: 'a:2' }, vm('b'), vm('c')]);
     expect(membership.standing('a')).to.equal('unlinked');
   });
 
-  it('spreads dials over the time that a peer needs to take them in', () => {
+  it('spreads dials over the time that a peer needs to accept them', () => {
     const delay = (dialers: number, drawn: number) =>
       dialDelayMs({ dialers, acceptsPerSecond: 200, random: () => drawn });
     expect([delay(1, 0.9), delay(100, 0.5), delay(430, 1), delay(1e6, 1)]).to.deep.equal([
--- a/packages/intent/test/replay.property.test.ts
+++ b/packages/intent/test/replay.property.test.ts
@@ -31,7 +31,7 @@
   changes: fc.array(changeOf, { minLength: 1, maxLength: 3 }),
 });
 
-/** Random bases seldom fit, so most records take the versions that are current when they land. */
+/** Sets the bases to the current versions: random bases rarely match, so most changes would be conflicts. */
 const rebase = (record: IntentRecord, aggregate: IntentAggregate): IntentRecord => ({
   ...record,
   changes: record.changes.map((change) => ({
@@ -43,7 +43,7 @@
 interface Step {
   record: IntentRecord;
   fits: boolean;
-  /** Append a checkpoint of this many records ago as well. */
+  /** If set, also appends a checkpoint of the state this many records ago. */
   checkpointOf: number | undefined;
 }
 
@@ -56,7 +56,7 @@
 const createReplica = (): IntentReplica =>
   createIntentReplica({ historyLimit: 4, onStep: () => {} });
 
-/** The log that the steps leave behind, and the view after each of its offsets. */
+/** The log that the steps produce, and the view at each of its offsets. */
 const buildLog = (steps: Step[]) => {
   const writer = createIntentAggregate();
   const log: { offset: number; value: unknown }[] = [];
@@ -81,7 +81,7 @@
 const readFrom = (log: { offset: number; value: unknown }[], beginning: number): IntentReplica => {
   const replica = createReplica();
   if (beginning > 0) replica.startScan(beginning);
-  replica.takeFromLog(log.slice(beginning));
+  replica.applyLogRecords(log.slice(beginning));
   return replica;
 };
 
@@ -93,7 +93,7 @@
     const property = fc.property(steps, fc.nat({ max: 20 }), (list, beginning) => {
       const { log, views, end } = buildLog(list);
       const replica = readFrom(log, Math.min(beginning, log.length));
-      if (replica.scanning()) {
+      if (replica.isScanning()) {
         expect(replica.aggregate().view()).to.deep.equal(views[0]);
         return;
       }
@@ -105,7 +105,7 @@
     expect(started).to.be.greaterThan(RUNS.numRuns / 3);
   });
 
-  it('never takes a version, or the offset, back', () => {
+  it('never decreases a version or the offset', () => {
     const property = fc.property(steps, (list) => {
       const { views } = buildLog(list);
       views.slice(1).forEach((view, index) => {
@@ -119,7 +119,7 @@
     fc.assert(property, RUNS);
   });
 
-  it('leaves every document whole: each class that is referred to exists', () => {
+  it('keeps every document consistent: each class that is referred to exists', () => {
     const property = fc.property(steps, (list) => {
       buildLog(list).views.forEach(({ document }) => {
         Object.values(document.organisations).forEach(({ defaultClass }) => {
@@ -130,7 +130,8 @@
     fc.assert(property, RUNS);
   });
 
-  it('gives a record one effect however often it lands', () => {
+  // An append whose answer was lost is repeated, so a record may be in the log several times.
+  it('applies a record once however often it is appended', () => {
     const property = fc.property(steps, fc.array(fc.nat({ max: 24 })), (list, repeats) => {
       const { log, end } = buildLog(list);
       repeats.forEach((at, index) => {
@@ -144,7 +145,7 @@
     fc.assert(property, RUNS);
   });
 
-  it('lets peers with a short history bring each other level', () => {
+  it('lets a peer catch up with one that has a short history', () => {
     const property = fc.property(
       steps,
       fc.nat({ max: 20 }),
@@ -155,7 +156,7 @@
         const behind = readFrom(log.slice(0, Math.min(cut, log.length)), 0);
         for (let turn = 0; turn < log.length + 1; turn += 1) {
           const offset = behind.aggregate().offset();
-          behind.takeFromPeer(ahead.handover(offset, limit + 1));
+          behind.applyHandover(ahead.handover(offset, limit + 1));
         }
         expect(behind.aggregate().view()).to.deep.equal(end.view());
       },
--- a/packages/intent/test/spread.test.ts
+++ b/packages/intent/test/spread.test.ts
@@ -2,7 +2,7 @@
 import type { Fleet, TestNode } from './support/nodes.js';
 import { changeClass, createFleet, submitAt, targetAt } from './support/nodes.js';
 
-describe('spread of intent', () => {
+describe('distribution of intent', () => {
   let fleet: Fleet;
   let a: TestNode;
   let b: TestNode;
@@ -21,9 +21,9 @@
     return submitAt(fleet, at, `set-${target}`, changeClass('live', base, target));
   };
 
-  // Node b has lost its way to the log, its peer a has not. A change is accepted at a. The next
-  // heartbeat shows b a higher offset than its own, and b fetches the record from a.
-  it('brings a change to a node that is cut off from the log', async () => {
+  // Node b can't reach the log, its peer a can. A change is accepted at a. The next heartbeat
+  // carries a higher offset than b's, and b fetches the record from a.
+  it('fetches a change from a peer at a node that is cut off from the log', async () => {
     fleet.link(a, b);
     b.faults.down = true;
     await setLive(a, 100);
@@ -32,7 +32,7 @@
     expect(b.metrics.counter('intent_gap_noticed')).to.equal(1);
   });
 
-  it('does not fetch from peers what the log brings in time', async () => {
+  it('does not fetch from peers what arrives from the log in time', async () => {
     fleet.link(a, b);
     await setLive(a, 100);
     await fleet.run(10_000);
@@ -40,9 +40,9 @@
     expect(b.metrics.counter('intent_gap_fetched')).to.equal(0);
   });
 
-  // Node b is cut off from the log and from its peer for a minute while changes go on. It serves
-  // on with what it has and says that it is isolated; when one way is back it has all changes.
-  it('says that it is isolated, and catches up when a peer is back', async () => {
+  // Node b is cut off from the log and from its peer for a minute while changes are made. It keeps
+  // serving with what it has and reports that it is isolated. When the peer is back it gets all changes.
+  it('reports that it is isolated, and catches up when a peer is back', async () => {
     fleet.link(a, b);
     await setLive(a, 100);
     await fleet.run(100);
@@ -62,10 +62,10 @@
     expect(b.node.freshness().state).to.equal('fresh');
   });
 
-  // A data centre with two nodes is cut off from the log and from the others, and its own links
-  // hold. A change is accepted elsewhere. The two serve on by what they have and say that it may be
-  // old; when the cut heals through a single link both come level, and neither has gone back.
-  it('says that a cut-off data centre is stale, and brings it level over one link', async () => {
+  // A data centre with two nodes is cut off from the log and from the others, with its own links up.
+  // A change is accepted elsewhere. The two nodes keep serving and report that their intent may be
+  // stale. When a single link to another data centre is back, both catch up.
+  it('reports that a cut-off data centre is stale, and catches up over one link', async () => {
     const kent = [fleet.start('k1'), fleet.start('k2')] as const;
     fleet.link(...kent);
     fleet.link(a, b);
@@ -90,8 +90,8 @@
     ]);
   });
 
-  // The log is down for all. Nobody can change intent then, so the nodes serve on; peers in reach
-  // tell a node with a dead log from one that is alone.
+  // The log is down for all nodes, so nobody can change intent and they keep serving. A node that
+  // reaches its peers must not report that it is isolated.
   it('is stale, not isolated, while the log is down for all', async () => {
     fleet.link(a, b);
     await setLive(a, 100);
@@ -106,8 +106,8 @@
   });
 
   // The log is down when a node starts. It must not serve an older state than callers have seen,
-  // so it takes the highest offset that its peers know before it is ready.
-  it('becomes ready from its peers while the log is down', async () => {
+  // so it has to reach the highest offset of its peers before it is ready.
+  it('becomes ready with the intent of its peers while the log is down', async () => {
     await setLive(a, 100);
     await fleet.run(100);
     b.faults.down = true;
@@ -126,16 +126,16 @@
     expect(c.node.freshness()).to.include({ caughtUp: true, state: 'stale' });
   });
 
-  // A peer's frame has shown a higher offset, and the peer answers nothing more. Other peers vouch
-  // for less. A node that started with less could show callers an older state than they have seen.
-  it('does not become ready below the highest offset that a peer has shown', async () => {
+  // A peer's frame carried a higher offset, and the peer no longer answers. Other peers confirm a
+  // lower one. A node that became ready at that could serve an older state than callers have seen.
+  it('does not become ready below the highest offset received from a peer', async () => {
     await setLive(a, 100);
     await fleet.run(100);
     fleet.log.faults.down = true;
     const c = fleet.start('c');
     const silent = { name: 'silent', fetch: async () => undefined };
     c.node.addPeer(silent);
-    c.node.noticeOffset(silent, 7);
+    c.node.handlePeerOffset(silent, 7);
     fleet.link(c, a);
     await fleet.run(10_000);
     expect(c.node.freshness()).to.include({ caughtUp: false, behind: 7 });
@@ -144,9 +144,9 @@
     expect(c.node.freshness()).to.include({ caughtUp: true, behind: 0 });
   });
 
-  // The log is well but slow, and the only peer has been cut off from it before a change. The peer
-  // answers long before the log does; the starting node waits for the log all the same.
-  it('waits for a slow log rather than trust a peer that lost it', async () => {
+  // The log is slow, and the only peer was cut off from it before the last change. The peer answers
+  // long before the log does; the starting node must wait for the log all the same.
+  it('waits for a slow log instead of trusting a peer that is cut off from it', async () => {
     await setLive(a, 100);
     await fleet.run(100);
     b.faults.down = true;
@@ -162,7 +162,7 @@
     expect(targetAt(c, 'live')).to.equal(200);
   });
 
-  it('does not become ready from peers that are starting themselves', async () => {
+  it('does not become ready with the intent of peers that are starting themselves', async () => {
     fleet.log.faults.down = true;
     const c = fleet.start('c');
     const d = fleet.start('d');
@@ -172,7 +172,7 @@
     expect(d.node.freshness()).to.include({ caughtUp: false, state: 'starting' });
   });
 
-  it('hands over its whole state when its history does not reach back far enough', async () => {
+  it('hands over a full snapshot when its history does not reach back far enough', async () => {
     const c = fleet.start('c', { limits: { historyLimit: 2 } });
     await fleet.run(10);
     for (const target of [100, 200, 300, 400]) await setLive(c, target);
@@ -183,8 +183,8 @@
     expect(d.node.current()).to.deep.equal(c.node.current());
   });
 
-  // Every node is replaced, one after the other, while changes go on and the log fails every other
-  // time. No new node is ready with less than its predecessor had.
+  // Every node is replaced, one after the other, while changes are made and the log is down every
+  // other time. No new node may become ready at a lower offset than the node that it replaces.
   it('never goes back while every node is replaced', async () => {
     let nodes = [a, b];
     fleet.link(a, b);
@@ -208,7 +208,7 @@
   });
 
   // The platform restores the log from an old copy that ends before what nodes have replayed. The
-  // records that operators were told are accepted are gone there, but not at the nodes.
+  // log has lost records that operators saw accepted; the nodes must keep them.
   it('keeps its intent when the log ends earlier than before', async () => {
     await setLive(a, 100);
     fleet.log.truncate(0);
@@ -218,8 +218,8 @@
     expect(a.node.freshness().state).to.equal('isolated');
   });
 
-  // Agents are many, so they leave the log alone while a peer vouches for their intent.
-  it('reads the log only while no peer confirms the intent, where it follows peers', async () => {
+  // There are many agents, so they don't read the log while a peer confirms their intent.
+  it('reads the log only while no peer confirms the intent, if it follows peers', async () => {
     const c = fleet.start('c', { follow: 'peers' });
     fleet.link(a, c);
     await fleet.run(5_000);
--- a/packages/intent/test/stopping.test.ts
+++ b/packages/intent/test/stopping.test.ts
@@ -7,7 +7,7 @@
     intentDocumentSchema.parse({ dataCentres: { kent: { state } } });
   const stopped = documentWith('stopped');
 
-  it('lets entries finish first and agents stop last', () => {
+  it('drains entries first and stops agents last', () => {
     const duty = (role: 'entry' | 'agent', inFlight: number, busyEntries = 0) =>
       nodeDuty({ role, dataCentre: 'kent', document: stopped, inFlight, busyEntries });
     expect([
@@ -23,14 +23,14 @@
   });
 
   // The balancer in front needs some probes to notice that an entry is not ready, and sends callers
-  // on until then. At a site with one data centre its own upstreams are the only ones to serve them.
+  // there until then. With a single data centre, its own upstreams are the only ones to serve them.
   it('sends new work to a stopping data centre from its own entries only', () => {
     expect(mayDispatch(stopped, 'lynnwood', 'kent')).to.equal(false);
     expect(mayDispatch(stopped, 'kent', 'kent')).to.equal(true);
     expect(mayDispatch(stopped, 'kent', 'lynnwood')).to.equal(true);
   });
 
-  it('gives a returning data centre its share back little by little', async () => {
+  it('ramps up the share of a returning data centre', async () => {
     const clock = createManualClock();
     const ramp = createReturnRamp({ clock, random: () => 0.5, rampMs: 10_000 });
     const shares = [ramp.share('kent')];
--- a/packages/intent/test/submit.test.ts
+++ b/packages/intent/test/submit.test.ts
@@ -29,9 +29,10 @@
     expect(targetAt(b, 'live')).to.equal(800);
   });
 
-  // Two operators change the same key from the same version at two nodes at once. Both appends
-  // land; the log's order decides, at every reader alike. The second caller is told who won.
-  it('tells the loser of a race on one key what won', async () => {
+  // Two operators change the same key from the same version at two nodes at once. Both records are
+  // appended, and their order in the log decides, at all readers alike. The second operator gets a
+  // conflict that names the author of the first.
+  it('reports a conflict with the winning version to the loser of a race on one key', async () => {
     const outcomes = await race([a, 'live', 800], [b, 'live', 900]);
     expect(outcomes).to.deep.equal([
       { outcome: 'accepted', version: 0 },
@@ -48,9 +49,9 @@
     expect(outcomes.map(({ outcome }) => outcome)).to.deep.equal(['accepted', 'accepted']);
   });
 
-  // One operator removes a class while another routes to it. Each change is valid alone; the
-  // second to land would leave a route without a class, so replay finds it invalid.
-  it('finds a change invalid on replay that was valid when it was sent', async () => {
+  // One operator removes a class while another adds a route to it. Each change is valid alone; the
+  // second in the log would leave a route without a class, so replay rejects it.
+  it('rejects a change on replay that was valid when it was submitted', async () => {
     await submitAt(fleet, a, 'id-0', changeClass('live', -1, 800));
     const route = { pathPrefix: '/x', service: 's', class: 'live' };
     const outcomes = await Promise.all([
@@ -64,7 +65,7 @@
     expect(b.node.current().document.routes).to.deep.equal({});
   });
 
-  it('refuses an invalid change before it is appended', async () => {
+  it('rejects an invalid change before it is appended', async () => {
     const outcome = await submitAt(fleet, a, 'id-1', {
       key: 'classes/live',
       base: -1,
@@ -74,16 +75,16 @@
     expect(fleet.log.end()).to.equal(0);
   });
 
-  // The log takes the record, and its answer is lost. The writer can't know, looks for the id in
-  // what it reads back, and finds it: the operator gets `accepted`, and nothing is appended twice.
-  it('looks a lost answer up by its id', async () => {
+  // The log appends the record, and its answer is lost. The writer looks for the id in the records
+  // that it reads back and finds it: the operator gets `accepted`, and nothing is appended twice.
+  it('looks up the outcome of an append by its id when the answer was lost', async () => {
     a.faults.appends.push('lost-answer');
     const outcome = await submitAt(fleet, a, 'id-1', changeClass('live', -1, 800));
     expect(outcome).to.deep.equal({ outcome: 'accepted', version: 0 });
     expect(fleet.log.counts().appends).to.equal(1);
   });
 
-  it('looks a lost answer up before it appends again, also where reads are slow', async () => {
+  it('looks up the outcome before it appends again, also when reads are slow', async () => {
     a.faults.slowReadMs = 1_000;
     a.faults.appends.push('lost-answer');
     const outcome = await submitAt(fleet, a, 'id-1', changeClass('live', -1, 800));
@@ -98,10 +99,10 @@
     expect(fleet.log.counts().appends).to.equal(2);
   });
 
-  // The log goes down after it has taken the record, and stays down past the writer's patience.
-  // The operator is told `unknown` with the id, asks again after the outage, also at another node,
+  // The log goes down after it has appended the record, for longer than the submission timeout. The
+  // operator gets `unknown` with the id, repeats the submission after the outage at another node,
   // and gets the outcome of the one record.
-  it('answers unknown in an outage, and the outcome when asked again by id', async () => {
+  it('returns unknown in an outage, and the outcome when repeated with the same id', async () => {
     a.faults.appends.push('lost-answer');
     const change = changeClass('live', -1, 800);
     const pending = submitAt(fleet, a, 'id-1', change);
@@ -114,9 +115,9 @@
     expect(fleet.log.end()).to.equal(1);
   });
 
-  // A first append is delayed on its way and lands after the second one with the same id, and
-  // after somebody else's newer change of the key. It must not bring the old value back.
-  it('gives a record that lands twice one effect', async () => {
+  // A delayed append reaches the log after its retry with the same id, and after a later change of
+  // the key. It must not bring the old value back.
+  it('applies a record that is appended twice once', async () => {
     const change = changeClass('live', -1, 800);
     await submitAt(fleet, a, 'id-1', change);
     await submitAt(fleet, b, 'id-2', changeClass('live', 0, 900));
@@ -128,7 +129,7 @@
     expect(a.metrics.counter('intent_record', { step: 'duplicate' })).to.equal(1);
   });
 
-  it('refuses an id that was used for another change', async () => {
+  it('rejects an id that was used for another change', async () => {
     await submitAt(fleet, a, 'id-1', changeClass('live', -1, 800));
     const outcome = await submitAt(fleet, a, 'id-1', changeClass('batch', -1, 800));
     expect(outcome).to.deep.equal({
--- a/packages/intent/test/support/nodes.ts
+++ b/packages/intent/test/support/nodes.ts
@@ -3,7 +3,7 @@
 import type { ManualClock, Metrics } from '@plantaindrum/common';
 import { createMemoryLog } from '@plantaindrum/stand-ins';
 import type { LogFaults, MemoryLog } from '@plantaindrum/stand-ins';
-import { createIntentReader, fetchWhole } from '../../src/index.js';
+import { createIntentReader, fetchFullAnswer } from '../../src/index.js';
 import type {
   IntentChange,
   IntentKey,
@@ -13,31 +13,31 @@
   SubmitOutcome,
 } from '../../src/index.js';
 
-/** A reader on a fake log, with peers that can be cut off. */
+/** A reader on a fake log, which can be cut off from its peers. */
 export interface TestNode {
   name: string;
   node: IntentNode;
   metrics: Metrics;
-  /** Faults of this node's way to the log. */
+  /** Faults of this node's connection to the log. */
   faults: LogFaults;
   /** While true, no peer reaches this node and it reaches none. */
   cutOff: boolean;
   close(): Promise<void>;
 }
 
-/** A fleet in one process, with time by hand. */
+/** Several nodes in one process, on a manual clock. */
 export interface Fleet {
   clock: ManualClock;
   log: MemoryLog;
   start(name: string, options?: Partial<IntentReaderOptions>): TestNode;
   /** Links two nodes; heartbeats carry offsets every 500 ms. */
   link(a: TestNode, b: TestNode): void;
-  /** Moves time forward, and lets everything settle that is due by then. */
+  /** Advances time, and runs everything that is due by then. */
   run(ms: number): Promise<void>;
   closeAll(): Promise<void>;
 }
 
-const HEARTBEAT_MS = 500;
+const HEARTBEAT_INTERVAL_MS = 500;
 
 /** Creates a fleet with an empty log. */
 export const createFleet = (): Fleet => {
@@ -76,24 +76,24 @@
     const peer: IntentPeer = {
       name: to.name,
       fetch: (after) =>
-        fetchWhole(async (args) => {
+        fetchFullAnswer(async (args) => {
           if (!isUp(from, to)) return undefined;
           return structuredClone(to.node.serveFetch(args));
         }, after),
     };
     from.node.addPeer(peer);
-    const beat = (): void => {
+    const sendHeartbeat = (): void => {
       if (!nodes.has(from) || !nodes.has(to)) {
         from.node.removePeer(peer);
         return;
       }
       const { offset } = to.node.current();
       if (isUp(from, to) && offset > from.node.current().offset) {
-        from.node.noticeOffset(peer, offset);
+        from.node.handlePeerOffset(peer, offset);
       }
-      clock.after(HEARTBEAT_MS, beat);
+      clock.after(HEARTBEAT_INTERVAL_MS, sendHeartbeat);
     };
-    beat();
+    sendHeartbeat();
   };
 
   return {
@@ -146,6 +146,6 @@
   ...changes: IntentChange[]
 ): Promise<SubmitOutcome> => settle(fleet.clock, at.node.submit({ id, author: at.name, changes }));
 
-/** The target of a class as one node sees it. */
+/** The target of a class in one node's intent. */
 export const targetAt = (at: TestNode, name: string): number | undefined =>
   at.node.current().document.classes[name]?.latestAnswerMs;
