--- a/packages/intent/src/core/membership/membership.ts
+++ b/packages/intent/src/core/membership/membership.ts
@@ -99,7 +99,7 @@
     else known.set(entry.vm.name, { ...entry, missingSince });
   };
 
-  const standingOf = (entry: KnownVm<V>): Standing => {
+  const availabilityOf = (entry: KnownVm<V>): Standing => {
     const { instance, leavingInstance, missingSince, vm } = entry;
     if (instance === undefined) return 'unlinked';
     if (instance === leavingInstance || vm.state === 'leaving') return 'leaving';
@@ -134,10 +134,10 @@
       if (entry.missingSince !== undefined) known.delete(name);
     },
     members: () =>
-      [...known.values()].map((entry) => ({ vm: entry.vm, standing: standingOf(entry) })),
+      [...known.values()].map((entry) => ({ vm: entry.vm, standing: availabilityOf(entry) })),
     standing: (name) => {
       const entry = known.get(name);
-      return entry && standingOf(entry);
+      return entry && availabilityOf(entry);
     },
     shouldDial: (name) => known.get(name)?.missingSince === undefined && known.has(name),
   };
--- a/packages/link/src/calls.ts
+++ b/packages/link/src/calls.ts
@@ -1,10 +1,10 @@
-/** Calls over one link: those made here that wait for a reply, and those that the peer makes. */
+/** Calls over one link: pending calls to the peer, and calls from the peer. */
 
 import type { Clock, Logger, Metrics } from '@plantaindrum/common';
 import type { Call, Frame, Reply } from './messages.js';
 import type { CallHandler, CallOutcome, Link } from './types.js';
 
-/** Thrown by a call handler to refuse a call; `value` travels to the caller. */
+/** Thrown by a call handler to refuse a call; `value` is sent to the calling node. */
 export class CallRefused extends Error {
   readonly value: unknown;
 
@@ -17,15 +17,16 @@
 
 /** The calls of one link. */
 export interface LinkCalls {
+  /** Calls a method of the peer; resolves to `lost` on a timeout or when the link closes. */
   start(method: string, args: unknown, timeoutMs: number): Promise<CallOutcome>;
-  onReply(reply: Reply): void;
+  handleReply(reply: Reply): void;
   /** Runs the handler of a peer's call and sends its reply. */
   serve(call: Call, link: Link): Promise<void>;
-  /** Ends every waiting call as lost. */
-  end(): void;
+  /** Resolves every pending call to `lost`. */
+  failPending(): void;
 }
 
-/** What the calls of one link need. */
+/** Options of `createLinkCalls`. */
 export interface LinkCallsOptions {
   send: (frame: Frame) => boolean;
   handlers: Record<string, CallHandler>;
@@ -37,7 +38,7 @@
 /** Creates the call table of one link. */
 export const createLinkCalls = (options: LinkCallsOptions): LinkCalls => {
   const { send, handlers, clock, metrics, log } = options;
-  const waiting = new Map<number, (outcome: CallOutcome) => void>();
+  const pending = new Map<number, (outcome: CallOutcome) => void>();
   let lastSeq = 0;
 
   const start = (method: string, args: unknown, timeoutMs: number): Promise<CallOutcome> =>
@@ -49,27 +50,30 @@
         return;
       }
       const cancelTimer = clock.after(timeoutMs, () => {
-        waiting.delete(seq);
+        pending.delete(seq);
         metrics.count('link_call_timeout', { method });
         resolve({ outcome: 'lost' });
       });
-      waiting.set(seq, (outcome) => {
+      pending.set(seq, (outcome) => {
         cancelTimer();
         resolve(outcome);
       });
     });
 
-  const onReply = ({ seq, ok, value }: Reply): void => {
-    const settle = waiting.get(seq);
+  const handleReply = ({ seq, ok, value }: Reply): void => {
+    const settle = pending.get(seq);
     if (!settle) {
       metrics.count('link_reply_dropped', { reason: 'late' });
       return;
     }
-    waiting.delete(seq);
+    pending.delete(seq);
     settle({ outcome: ok ? 'answered' : 'failed', value });
   };
 
-  const run = async ({ method, args }: Call, link: Link): Promise<Omit<Reply, 't' | 'seq'>> => {
+  const runHandler = async (
+    { method, args }: Call,
+    link: Link,
+  ): Promise<Omit<Reply, 't' | 'seq'>> => {
     const handler = Object.hasOwn(handlers, method) ? handlers[method] : undefined;
     if (!handler) {
       metrics.count('link_call_refused', { reason: 'unknown-method' });
@@ -87,14 +91,14 @@
 
   return {
     start,
-    onReply,
+    handleReply,
     serve: async (call, link) => {
-      const { ok, value } = await run(call, link);
+      const { ok, value } = await runHandler(call, link);
       send({ t: 'reply', seq: call.seq, ok, value });
     },
-    end: () => {
-      waiting.forEach((settle) => settle({ outcome: 'lost' }));
-      waiting.clear();
+    failPending: () => {
+      pending.forEach((settle) => settle({ outcome: 'lost' }));
+      pending.clear();
     },
   };
 };
--- a/packages/link/src/client.ts
+++ b/packages/link/src/client.ts
@@ -7,13 +7,13 @@
 import type { LinkOptions } from './options.js';
 import type { Link, LinkCloseReason } from './types.js';
 
-/** Waits between tries to connect, in milliseconds. */
+/** Delays between attempts to connect, in milliseconds. */
 export interface Backoff {
   firstMs: number;
   maxMs: number;
 }
 
-/** Backoff that reaches its longest wait after six failures. */
+/** Default backoff; reaches its longest delay after six failures. */
 export const defaultBackoff: Backoff = { firstMs: 100, maxMs: 5_000 };
 
 /** Options of a link client. */
@@ -22,7 +22,7 @@
   connect: { host: string; port: number };
   backoff: Backoff;
   random: Random;
-  /** Told when a try or a link has ended. */
+  /** Called when an attempt to connect has failed or a link has closed. */
   onDown?: (reason: LinkCloseReason) => void;
 }
 
@@ -30,19 +30,19 @@
 export interface LinkClient {
   /** The current link, if there is one. */
   link(): Link | undefined;
-  /** Ends the link after its sent frames and stops reconnecting. */
+  /** Stops reconnecting and closes the link once its sent frames are flushed. */
   close(): Promise<void>;
 }
 
 /**
- * The longest wait before the next try, doubled with each failure. The wait itself is uniform
- * between nothing and this ("full jitter"): after a data centre comes back its peers then arrive
- * spread over the interval and not all at once.
+ * Upper bound of the delay before the next attempt, doubled with each failure. The delay itself is
+ * uniformly random between zero and this bound ("full jitter"), so that the peers of a returning
+ * data centre reconnect spread over the interval and not all at once.
  */
 export const backoffCeiling = ({ firstMs, maxMs }: Backoff, failures: number): number =>
   Math.min(maxMs, firstMs * 2 ** Math.min(failures, 30));
 
-/** Starts to keep a peer connected; each connection is a new link given to `onLink`. */
+/** Starts keeping a peer connected; each connection is a new link, passed to `onLink`. */
 export const createLinkClient = (options: LinkClientOptions): LinkClient => {
   const { clock, metrics, random, backoff } = options;
   const pause = createPause(clock);
@@ -61,7 +61,7 @@
     },
   };
 
-  const open = (): Promise<Socket | undefined> =>
+  const openSocket = (): Promise<Socket | undefined> =>
     new Promise((resolve) => {
       const socket = connect(options.connect.port, options.connect.host);
       connecting = socket;
@@ -76,7 +76,7 @@
     });
 
   const connectOnce = async (): Promise<LinkCloseReason> => {
-    const socket = await open();
+    const socket = await openSocket();
     connecting = undefined;
     if (!socket) {
       metrics.count('link_connect_failed');
@@ -101,7 +101,7 @@
     }
   };
 
-  const task = keepConnected();
+  const reconnectLoop = keepConnected();
 
   return {
     link: () => current,
@@ -110,7 +110,7 @@
       pause.end();
       connecting?.destroy();
       connection?.close();
-      await task;
+      await reconnectLoop;
     },
   };
 };
--- a/packages/link/src/codec.ts
+++ b/packages/link/src/codec.ts
@@ -1,13 +1,13 @@
-/** Frames and hellos to bytes and back, by cbor-x. */
+/** Encodes and decodes frames and hellos as CBOR. */
 
 import { Encoder } from 'cbor-x';
 import type { Result } from '@plantaindrum/common';
 import { fail, ok } from '@plantaindrum/common';
-import { frameBytes } from './framing.js';
+import { addLengthPrefix } from './framing.js';
 import type { Frame, Hello } from './messages.js';
 import { isFrame, isHello } from './shapes.js';
 
-/** Plain CBOR maps and byte strings: no shared records, so that each frame decodes on its own. */
+/** Plain CBOR maps and byte strings, without shared record structures, so that each frame can be decoded on its own. */
 const cbor = new Encoder({ useRecords: false, mapsAsObjects: true, tagUint8Array: false });
 
 const decode = (payload: Buffer): unknown => {
@@ -18,8 +18,8 @@
   }
 };
 
-/** Encodes a frame with its length. */
-export const encodeFrame = (frame: Frame | Hello): Buffer => frameBytes(cbor.encode(frame));
+/** Encodes a frame with its length prefix. */
+export const encodeFrame = (frame: Frame | Hello): Buffer => addLengthPrefix(cbor.encode(frame));
 
 /** Decodes a frame's payload. */
 export const decodeFrame = (payload: Buffer): Result<Frame, 'malformed-frame'> => {
@@ -27,7 +27,7 @@
   return isFrame(value) ? ok(value) : fail('malformed-frame');
 };
 
-/** Decodes the first payload of a link, which must be a hello of this major version. */
+/** Decodes the first payload of a link, which must be a hello of the same major version. */
 export const decodeHello = (
   payload: Buffer,
 ): Result<Hello, 'malformed-frame' | 'version-mismatch'> => {
--- a/packages/link/src/connection.ts
+++ b/packages/link/src/connection.ts
@@ -1,22 +1,23 @@
-/** One TCP connection as a link: hello both ways, then frames until either side ends it. */
+/** A link over one TCP connection: hellos in both directions, then frames until either side closes it. */
 
 import type { Socket } from 'node:net';
 import { createLinkCalls } from './calls.js';
 import { decodeFrame, decodeHello, encodeFrame } from './codec.js';
-import { startIntake } from './intake.js';
-import type { Intake } from './intake.js';
+import { startPayloadReader } from './intake.js';
+import type { PayloadReader } from './intake.js';
 import type { Frame, Hello } from './messages.js';
 import type { FrameHandler, LinkOptions } from './options.js';
 import type { Link, LinkCloseReason } from './types.js';
 
-const FLUSH_MS = 1_000;
+/** Time for sent frames to be flushed when this side closes the link, in milliseconds. */
+const FLUSH_TIMEOUT_MS = 1_000;
 
 const frameKind = (frame: Frame): 'control' | 'data' =>
   frame.t === 'chunk' || frame.t === 'dispatch' ? 'data' : 'control';
 
-/** A connection before and after its hello. */
+/** A connection, whether or not the hellos have been exchanged. */
 export interface Connection {
-  /** Runs the connection to its end; never rejects. */
+  /** Runs the connection until it is closed; never rejects. */
   run(): Promise<LinkCloseReason>;
   close(): void;
 }
@@ -25,40 +26,40 @@
 export const createConnection = (socket: Socket, options: LinkOptions): Connection => {
   const { clock, limits, metrics, log } = options;
   let reason: LinkCloseReason | undefined;
-  let settleClosed: (value: LinkCloseReason) => void;
+  let resolveClosed: (value: LinkCloseReason) => void;
   const closed = new Promise<LinkCloseReason>((resolve) => {
-    settleClosed = resolve;
+    resolveClosed = resolve;
   });
-  let waitingForDrain: (() => void)[] = [];
+  let drainWaiters: (() => void)[] = [];
   let heartbeatSeq = 0;
-  let silentHeartbeats = 0;
-  /** Something was sent since the peer's last heartbeat, and shows it that this side lives. */
+  let missedHeartbeats = 0;
+  /** Whether a frame was sent since the peer's last heartbeat, which shows the peer that this side is alive. */
   let hasSent = false;
   let stopTimer = (): void => {};
   let opened: { link: Link; onFrame: FrameHandler } | undefined;
-  let intake: Intake | undefined;
-  let isOver = false;
+  let reader: PayloadReader | undefined;
+  let isClosed = false;
 
   const releaseDrainWaiters = (): void => {
-    const waiters = waitingForDrain;
-    waitingForDrain = [];
+    const waiters = drainWaiters;
+    drainWaiters = [];
     waiters.forEach((resume) => resume());
   };
 
-  const finish = (why: LinkCloseReason): void => {
+  const closeWith = (why: LinkCloseReason): void => {
     if (reason) return;
     reason = why;
     stopTimer();
-    // Frames that were read before this side closed belong to nobody any more.
-    intake?.stop();
+    // Frames that were read but not handled before this side closed are dropped.
+    reader?.stop();
     releaseDrainWaiters();
     if (why !== 'closed-here') {
       socket.destroy();
       return;
     }
-    // What was sent before the close still goes out, unless the peer has stopped reading.
+    // Frames sent before the close are still flushed, unless the peer has stopped reading.
     socket.end();
-    const stopFlush = clock.after(FLUSH_MS, () => socket.destroy());
+    const stopFlush = clock.after(FLUSH_TIMEOUT_MS, () => socket.destroy());
     socket.once('close', stopFlush);
   };
 
@@ -68,8 +69,8 @@
     metrics.count('link_bytes_sent', { kind }, bytes.length);
     socket.write(bytes);
     hasSent = true;
-    // A peer that stops reading must not fill this process's memory: the link ends instead.
-    if (socket.writableLength > limits.sendBufferMaxBytes) finish('send-buffer-full');
+    // Closes the link to a peer that has stopped reading, so that unsent frames don't exhaust memory.
+    if (socket.writableLength > limits.sendBufferMaxBytes) closeWith('send-buffer-full');
     return true;
   };
 
@@ -79,45 +80,48 @@
   const drained = async (): Promise<void> => {
     if (reason || socket.writableLength <= limits.sendBufferBytes) return;
     await new Promise<void>((resolve) => {
-      waitingForDrain.push(resolve);
+      drainWaiters.push(resolve);
     });
   };
 
-  const sayHello = (): void => {
+  const sendHello = (): void => {
     const { identity, intentOffset } = options;
     write({ t: 'hello', v: 1, ...identity, intentOffset: intentOffset() }, 'control');
   };
 
-  const makeLink = (peer: Hello): Link => ({
+  const createLink = (peer: Hello): Link => ({
     peer,
     send,
     drained,
     call: calls.start,
-    close: () => finish('closed-here'),
+    close: () => closeWith('closed-here'),
     closed,
   });
 
-  const noteOffset = (link: Link, offset: number): void => {
+  const reportOffset = (link: Link, offset: number): void => {
     if (offset > options.intentOffset()) options.onPeerOffset?.(link, offset);
   };
 
-  const heartbeatMs = (): number =>
+  const heartbeatIntervalMs = (): number =>
     (opened && options.heartbeatMsWith?.(opened.link.peer.node)) ?? limits.heartbeatMs;
 
-  /** Counts beats, not time: a process that was frozen gives its peer a beat to be heard first. */
-  const beat = (): void => {
-    if (!intake?.isBusy()) silentHeartbeats += 1;
-    if (silentHeartbeats > limits.heartbeatsMissed) {
-      finish('heartbeat-missed');
+  /**
+   * Sends a heartbeat, and closes the link after too many without a byte from the peer. Heartbeats are counted instead
+   * of time, so that a process that was frozen reads what its peer has sent before it gives the peer up.
+   */
+  const sendHeartbeat = (): void => {
+    if (!reader?.isBusy()) missedHeartbeats += 1;
+    if (missedHeartbeats > limits.heartbeatsMissed) {
+      closeWith('heartbeat-missed');
       return;
     }
     heartbeatSeq += 1;
     send({ t: 'ping', seq: heartbeatSeq, intentOffset: options.intentOffset() });
-    if (!reason) stopTimer = clock.after(heartbeatMs(), beat);
+    if (!reason) stopTimer = clock.after(heartbeatIntervalMs(), sendHeartbeat);
   };
 
-  /** Answers a heartbeat where the answer carries a load, or nothing else has told the peer that this side lives. */
-  const pong = (seq: number): void => {
+  /** Answers a heartbeat if there is a load to report, or if no other frame has shown the peer that this side is alive. */
+  const sendPong = (seq: number): void => {
     const load = options.load?.();
     if (load || !hasSent) {
       send({ t: 'pong', seq, intentOffset: options.intentOffset(), ...(load && { load }) });
@@ -125,11 +129,11 @@
     hasSent = false;
   };
 
-  /** Takes one frame; a promise while its handler is at work. */
-  const take = (frame: Frame, link: Link, onFrame: FrameHandler): void | Promise<void> => {
+  /** Handles one frame; returns a promise if its handler is asynchronous. */
+  const handleFrame = (frame: Frame, link: Link, onFrame: FrameHandler): void | Promise<void> => {
     if (frame.t === 'ping') {
-      pong(frame.seq);
-      noteOffset(link, frame.intentOffset);
+      sendPong(frame.seq);
+      reportOffset(link, frame.intentOffset);
       return undefined;
     }
     if (frame.t === 'call') {
@@ -137,74 +141,74 @@
       return undefined;
     }
     if (frame.t === 'reply') {
-      calls.onReply(frame);
+      calls.handleReply(frame);
       return undefined;
     }
-    if (frame.t === 'pong') noteOffset(link, frame.intentOffset);
+    if (frame.t === 'pong') reportOffset(link, frame.intentOffset);
     return onFrame(frame);
   };
 
-  const open = (payload: Buffer): void => {
+  const handleHello = (payload: Buffer): void => {
     const hello = decodeHello(payload);
     if (!hello.ok) {
-      finish(hello.err);
+      closeWith(hello.err);
       return;
     }
     stopTimer();
     metrics.count('link_opened', { role: hello.value.role });
-    const link = makeLink(hello.value);
+    const link = createLink(hello.value);
     const onFrame = options.onLink(link);
     opened = { link, onFrame };
-    noteOffset(link, hello.value.intentOffset);
-    beat();
+    reportOffset(link, hello.value.intentOffset);
+    sendHeartbeat();
   };
 
-  const takePayload = (payload: Buffer): void | Promise<void> => {
-    if (!opened) return open(payload);
+  const handlePayload = (payload: Buffer): void | Promise<void> => {
+    if (!opened) return handleHello(payload);
     const frame = decodeFrame(payload);
-    if (frame.ok) return take(frame.value, opened.link, opened.onFrame);
-    finish(frame.err);
+    if (frame.ok) return handleFrame(frame.value, opened.link, opened.onFrame);
+    closeWith(frame.err);
     return undefined;
   };
 
-  const noteOver = (): void => {
-    if (isOver) return;
-    isOver = true;
+  const handleClosed = (): void => {
+    if (isClosed) return;
+    isClosed = true;
     const why = reason ?? 'socket-error';
-    calls.end();
+    calls.failPending();
     metrics.count('link_closed', { reason: why });
-    settleClosed(why);
+    resolveClosed(why);
   };
 
   const run = (): Promise<LinkCloseReason> => {
     socket.setNoDelay(true);
     socket.on('drain', releaseDrainWaiters);
-    intake = startIntake({
+    reader = startPayloadReader({
       socket,
       frameBytes: limits.frameBytes,
       onBytes: (length) => {
-        silentHeartbeats = 0;
+        missedHeartbeats = 0;
         metrics.count('link_bytes_received', {}, length);
       },
-      take: takePayload,
-      onFault: finish,
-      // A fault of this process, brought out by one peer's frame: only that peer's link pays for it.
-      onTakeFailed: (err) => {
+      handlePayload,
+      onFramingFault: closeWith,
+      // A handler failed on a frame of this peer: only this peer's link is closed.
+      onHandlerFailed: (err) => {
         log.error(`a frame could not be handled: ${String(err)}`);
-        finish('handler-failed');
+        closeWith('handler-failed');
       },
-      onEnd: finish,
-      onOver: noteOver,
+      onInputEnd: closeWith,
+      onClosed: handleClosed,
     });
-    if (reason) intake.stop();
+    if (reason) reader.stop();
     else {
-      sayHello();
-      stopTimer = clock.after(limits.helloTimeoutMs, () => finish('hello-timeout'));
+      sendHello();
+      stopTimer = clock.after(limits.helloTimeoutMs, () => closeWith('hello-timeout'));
     }
-    // A socket that was destroyed before tells nobody any more.
-    if (socket.closed) noteOver();
+    // A socket that is already closed emits no further events.
+    if (socket.closed) handleClosed();
     return closed;
   };
 
-  return { run, close: () => finish('closed-here') };
+  return { run, close: () => closeWith('closed-here') };
 };
--- a/packages/link/src/intake.ts
+++ b/packages/link/src/intake.ts
@@ -1,4 +1,4 @@
-/** Takes the payloads of a socket in order; while one is at work, the peer is held back by TCP. */
+/** Handles the payloads of a socket in order; reading is paused while one is being handled (TCP backpressure). */
 
 import type { Socket } from 'node:net';
 import { createFrameSplitter } from './framing.js';
@@ -8,74 +8,75 @@
 export type InputEnd = 'closed-by-peer' | 'socket-error';
 
 /** Options of `startIntake`. */
-export interface IntakeOptions {
+export interface PayloadReaderOptions {
   socket: Socket;
   /** Largest payload, in bytes. */
   frameBytes: number;
-  /** Told of the size of each read, before its payloads are taken. */
+  /** Called with the size of each read, before its payloads are handled. */
   onBytes: (length: number) => void;
-  /** Takes one payload; the next one waits for a promise. */
-  take: (payload: Buffer) => void | Promise<void>;
-  /** The bytes are no frames. */
-  onFault: (fault: FramingFault) => void;
-  /** `take` threw or its promise was rejected. */
-  onTakeFailed: (err: unknown) => void;
-  /** All that came in has been taken, and nothing more will. */
-  onEnd: (why: InputEnd) => void;
-  /** The socket is closed and nothing is being taken any more. */
-  onOver: () => void;
+  /** Handles one payload; if it returns a promise, the next payload waits until that has settled. */
+  handlePayload: (payload: Buffer) => void | Promise<void>;
+  /** Called when the bytes can't be split into frames. */
+  onFramingFault: (fault: FramingFault) => void;
+  /** Called when `handlePayload` has thrown or its promise was rejected. */
+  onHandlerFailed: (err: unknown) => void;
+  /** Called when the input has ended and all payloads have been handled. */
+  onInputEnd: (why: InputEnd) => void;
+  /** Called when the socket is closed and no payload is being handled any more. */
+  onClosed: () => void;
 }
 
-/** The reading of one socket. */
-export interface Intake {
-  /** A payload is being taken. */
+/** Reads one socket. */
+export interface PayloadReader {
+  /** Whether an asynchronous handler is running. */
   isBusy(): boolean;
-  /** Drops what has been read and not taken, and all that still comes in. */
+  /** Drops payloads that haven't been handled, and all further input. */
   stop(): void;
 }
 
-/** Starts to read. */
-export const startIntake = (options: IntakeOptions): Intake => {
-  const { socket, take, onBytes, onFault, onTakeFailed, onEnd, onOver } = options;
+/** Starts reading. */
+export const startPayloadReader = (options: PayloadReaderOptions): PayloadReader => {
+  const { socket, handlePayload, onBytes, onFramingFault, onHandlerFailed, onInputEnd, onClosed } =
+    options;
   const splitter = createFrameSplitter(options.frameBytes);
-  let unread: Buffer[] = [];
+  let queue: Buffer[] = [];
   let isBusy = false;
   let isStopped = false;
   let isClosed = false;
   let inputEnd: InputEnd | undefined;
 
-  const awaitTaken = async (pending: Promise<void>, goOn: () => void): Promise<void> => {
+  const awaitHandler = async (pending: Promise<void>, drain: () => void): Promise<void> => {
     isBusy = true;
     socket.pause();
     try {
       await pending;
     } catch (err) {
-      onTakeFailed(err);
+      onHandlerFailed(err);
     }
     isBusy = false;
     socket.resume();
-    goOn();
+    drain();
   };
 
-  const takeNext = (payload: Buffer, goOn: () => void): void => {
+  const handleNext = (payload: Buffer, drain: () => void): void => {
     try {
-      const pending = take(payload);
-      if (pending) void awaitTaken(pending, goOn);
+      const pending = handlePayload(payload);
+      if (pending) void awaitHandler(pending, drain);
     } catch (err) {
-      onTakeFailed(err);
+      onHandlerFailed(err);
     }
   };
 
-  const goOn = (): void => {
-    while (!isBusy && !isStopped && unread.length > 0) takeNext(unread.shift() as Buffer, goOn);
+  const drain = (): void => {
+    while (!isBusy && !isStopped && queue.length > 0) handleNext(queue.shift() as Buffer, drain);
     if (isBusy) return;
-    if (inputEnd) onEnd(inputEnd);
-    if (isClosed) onOver();
+    if (inputEnd) onInputEnd(inputEnd);
+    if (isClosed) onClosed();
   };
 
-  const noteEnd = (why: InputEnd): void => {
+  const handleInputEnd = (why: InputEnd): void => {
     inputEnd ??= why;
-    goOn();
+    drain();
   };
 
   socket.on('data', (bytes: Buffer) => {
@@ -83,24 +84,24 @@
     if (isStopped) return;
     const split = splitter.push(bytes);
     if (!split.ok) {
-      onFault(split.err);
+      onFramingFault(split.err);
       return;
     }
-    unread.push(...split.value);
-    goOn();
+    queue.push(...split.value);
+    drain();
   });
-  socket.on('end', () => noteEnd('closed-by-peer'));
-  socket.on('error', () => noteEnd('socket-error'));
+  socket.on('end', () => handleInputEnd('closed-by-peer'));
+  socket.on('error', () => handleInputEnd('socket-error'));
   socket.on('close', () => {
     isClosed = true;
-    noteEnd('socket-error');
+    handleInputEnd('socket-error');
   });
 
   return {
     isBusy: () => isBusy,
     stop: () => {
       isStopped = true;
-      unread = [];
+      queue = [];
     },
   };
 };
--- a/packages/link/src/messages.ts
+++ b/packages/link/src/messages.ts
@@ -1,6 +1,6 @@
-/** The typed frames that travel between entries and agents, and between agents. */
+/** The frames sent between entries and agents, and between agents. */
 
-/** Names one attempt: the entry instance that made it and that entry's counter. */
+/** Id of an attempt: the instance of the entry that made it, and a counter of that entry. */
 export type AttemptId = `${string}:${number}`;
 
 /** The first frame on every link, in both directions. */
@@ -17,11 +17,11 @@
   intentOffset: number;
 }
 
-/** Load of one upstream as its agent knows it; rides on pongs and on ends of attempts. */
+/** Load of one upstream as its agent knows it; sent with pongs and with the frames that end an attempt. */
 export interface Load {
   queued: number;
   running: number;
-  /** Requests served a second, smoothed. */
+  /** Requests served per second, smoothed. */
   drainPerSecond: number;
   leaving: boolean;
 }
@@ -41,7 +41,7 @@
   load?: Load;
 }
 
-/** An idempotency key as the caller gave it, scoped by organisation, and its body's hash. */
+/** The caller's idempotency key, which is scoped by organisation, and the hash of the request body. */
 export interface IdempotencyKey {
   key: string;
   bodyHash: string;
@@ -66,19 +66,19 @@
   resumeAfter?: string;
 }
 
-/** Entry to agent: the caller has gone, or the attempt lost its use. */
+/** Entry to agent: cancel this attempt, since the caller disconnected or its answer is no longer needed. */
 export interface Cancel {
   t: 'cancel';
   id: AttemptId;
 }
 
-/** Entry to agent, after a reconnect: what became of this attempt? Unknown ids get a tombstone. */
+/** Entry to agent, after a reconnect: asks for the outcome of an attempt. An unknown id gets a tombstone. */
 export interface Query {
   t: 'query';
   id: AttemptId;
-  /** Whether the entry holds the answer's head; the agent sends it again if not. */
+  /** Whether the entry has received the answer's head; if not, the agent sends it again. */
   headReceived: boolean;
-  /** Bytes of the answer that the entry holds; what was sent beyond them was lost with the link. */
+  /** Bytes of the answer that the entry has received; later bytes were lost with the link. */
   received: number;
 }
 
@@ -92,7 +92,7 @@
   bytes: number;
 }
 
-/** Agent to entry: the upstream has been given the attempt. */
+/** Agent to entry: the attempt has been sent to the upstream. */
 export interface Started {
   t: 'started';
   id: AttemptId;
@@ -114,7 +114,7 @@
   data: Uint8Array;
 }
 
-/** Agent to entry: the answer is whole; `length` is its size in bytes. */
+/** Agent to entry: the answer is complete; `length` is its size in bytes. */
 export interface End {
   t: 'end';
   id: AttemptId;
@@ -153,7 +153,7 @@
   load: Load;
 }
 
-/** Agent to entry: the attempt may have run and has no whole answer. */
+/** Agent to entry: the attempt may have run and has no complete answer. */
 export interface Unknown {
   t: 'unknown';
   id: AttemptId;
@@ -168,12 +168,12 @@
   started: boolean;
 }
 
-/** Agent to everyone: no new work from now on. */
+/** Agent to all peers: it accepts no new work from now on. */
 export interface Leaving {
   t: 'leaving';
 }
 
-/** A call between nodes (intent gaps, expert-map orders); answered by `reply`. */
+/** A call between nodes, such as to fetch intent or to change an expert map; answered by `reply`. */
 export interface Call {
   t: 'call';
   seq: number;
@@ -189,7 +189,7 @@
   value: unknown;
 }
 
-/** A word to a peer that asks for no answer (shares of load, reports of ranks); it may be lost. */
+/** A message without a reply, such as a load update or a rank's report; it may be lost. */
 export interface Note {
   t: 'note';
   method: string;
--- a/packages/link/src/node-status.ts
+++ b/packages/link/src/node-status.ts
@@ -1,12 +1,12 @@
-/** The call by which a node asks another what it has in flight. */
+/** Name of the call that queries a node's requests in flight. */
 export const NODE_STATUS = 'node.status';
 
 /** Answer to `node.status`. */
 export interface NodeStatus {
-  /** Requests that the node holds: at an entry those not answered, at an agent those queued or running. */
+  /** Requests in flight: at an entry those not answered yet, at an agent those queued or running. */
   inFlight: number;
-  /** The intent that the node follows. */
+  /** Offset of the intent that the node has applied. */
   intent: { offset: number };
-  /** Agents of an expert group: what this member and its coordinator task know. */
+  /** At agents of an expert group: the status of the group as this member knows it. */
   group?: unknown;
 }
--- a/packages/link/src/options.ts
+++ b/packages/link/src/options.ts
@@ -2,25 +2,25 @@
 import type { Call, Frame, Hello, Load, Ping, Reply } from './messages.js';
 import type { CallHandler, Link } from './types.js';
 
-/** Bounds on what one link may use. */
+/** Limits of links. */
 export interface LinkLimits {
   /** Largest frame, in bytes. */
   frameBytes: number;
   /** Above this many unsent bytes `drained()` waits. */
   sendBufferBytes: number;
-  /** Above this many unsent bytes the link is closed: its sender ignores `drained()`. */
+  /** Above this many unsent bytes the link is closed, as its sender doesn't wait for `drained()`. */
   sendBufferMaxBytes: number;
-  /** Time for the peer's hello, in milliseconds. */
+  /** Timeout of the peer's hello, in milliseconds. */
   helloTimeoutMs: number;
   /** Time between heartbeats, in milliseconds. */
   heartbeatMs: number;
-  /** Heartbeats in a row without a byte from the peer that end the link. */
+  /** The link is closed after more than this many heartbeats in a row without a byte from the peer. */
   heartbeatsMissed: number;
-  /** Most links that a server keeps at once. */
+  /** Largest number of links that a server keeps at once. */
   connections: number;
 }
 
-/** Limits that suit nodes with about a millisecond between them. */
+/** Default limits, for nodes with a network latency of about a millisecond. */
 export const defaultLinkLimits: LinkLimits = {
   frameBytes: 2_097_152,
   sendBufferBytes: 1_048_576,
@@ -31,31 +31,31 @@
   connections: 4_096,
 };
 
-/** What a link doesn't answer by itself; pongs come along for the load that rides on them. */
+/** Frames that are passed to the frame handler. Pongs are included for the load that they carry. */
 export type PeerFrame = Exclude<Frame, Ping | Call | Reply>;
 
 /**
- * Takes the frames of one link in order. The next frame is read once the returned promise has
- * resolved, which holds the peer back by TCP; it must resolve well within the heartbeat timeout.
+ * Handles the frames of one link in order. Reading is paused until the returned promise has
+ * settled (TCP backpressure to the peer), which must be well within the heartbeat timeout.
  */
 export type FrameHandler = (frame: PeerFrame) => void | Promise<void>;
 
-/** What every link of a process needs to know. */
+/** Options of all links of a process. */
 export interface LinkOptions {
-  /** This node, as its hello tells peers. */
+  /** This node, as announced in its hello. */
   identity: Omit<Hello, 't' | 'v' | 'intentOffset'>;
   /** Highest offset of the intent topic that this node has replayed, -1 for none. */
   intentOffset: () => number;
-  /** Load of the upstream beside this node; rides on pongs. */
+  /** Load of the upstream beside this node; sent with pongs. */
   load?: () => Load;
   limits: LinkLimits;
-  /** Time between heartbeats to a peer, in ms, where it depends on the peer's node; read at each beat. */
+  /** Overrides `limits.heartbeatMs` for a peer's node, in milliseconds; called at each heartbeat. */
   heartbeatMsWith?: (node: string) => number;
-  /** Methods that peers may call, by name `area.verb`. */
+  /** Handlers of the methods that peers may call, by name (`area.verb`). */
   handlers: Record<string, CallHandler>;
-  /** Told of each new connection; the result takes its frames. */
+  /** Called for each new link; returns the handler of its frames. */
   onLink: (link: Link) => FrameHandler;
-  /** Told when a peer has replayed more of the intent topic than this node. */
+  /** Called when a peer has replayed more of the intent topic than this node. */
   onPeerOffset?: (link: Link, offset: number) => void;
   clock: Clock;
   metrics: Metrics;
--- a/packages/link/src/server.ts
+++ b/packages/link/src/server.ts
@@ -6,20 +6,20 @@
 
 /** Options of a link server. */
 export interface LinkServerOptions extends LinkOptions {
-  /** IP number and port to listen on; port 0 takes a free one. */
+  /** IP address and port to listen on; port 0 selects a free port. */
   listen: { host: string; port: number };
 }
 
 /** Accepts links from peers. */
 export interface LinkServer {
   readonly address: { host: string; port: number };
-  /** Stops accepting; open links stay. */
+  /** Stops accepting links; open links stay. */
   stopListening(): void;
-  /** Stops accepting, ends every link after its sent frames, and waits until all are gone. */
+  /** Stops accepting links, closes every link once its sent frames are flushed, and waits until all are closed. */
   close(): Promise<void>;
 }
 
-/** Starts a link server; rejects when the address can't be listened on. */
+/** Starts a link server; rejects if it can't listen on the address. */
 export const createLinkServer = async (options: LinkServerOptions): Promise<LinkServer> => {
   const { listen, limits, metrics } = options;
   const connections = new Map<Connection, Promise<unknown>>();
--- a/packages/link/src/shapes.ts
+++ b/packages/link/src/shapes.ts
@@ -1,4 +1,4 @@
-/** Checks that a decoded value has the shape of a frame before any code relies on its type. */
+/** Type guards for decoded frames. */
 
 import { isObject } from '@plantaindrum/common';
 import type { Frame, Hello } from './messages.js';
--- a/packages/link/src/types.ts
+++ b/packages/link/src/types.ts
@@ -1,6 +1,6 @@
 import type { Frame, Hello } from './messages.js';
 
-/** Why a link ended. */
+/** Why a link was closed, or could not be opened. */
 export type LinkCloseReason =
   | 'closed-here'
   | 'closed-by-peer'
@@ -18,22 +18,22 @@
 export interface Link {
   /** The peer's hello. */
   readonly peer: Hello;
-  /** Sends a frame; false when the link has ended and nothing was sent. */
+  /** Sends a frame; false if the link is closed and nothing was sent. */
   send(frame: Frame): boolean;
-  /** Resolves once the send buffer is below its limit again. */
+  /** Resolves once the send buffer is below `sendBufferBytes`, or the link is closed. */
   drained(): Promise<void>;
-  /** Calls a method of the peer; rejects never: a lost link gives `{ ok: false }`. */
+  /** Calls a method of the peer. Never rejects: on a timeout or a closed link the outcome is `lost`. */
   call(method: string, args: unknown, timeoutMs: number): Promise<CallOutcome>;
   close(): void;
-  /** Resolves with the reason when the link has ended. */
+  /** Resolves with the reason when the link is closed. */
   readonly closed: Promise<LinkCloseReason>;
 }
 
-/** Outcome of a call: `failed` is the peer's refusal, `lost` means that nothing is known. */
+/** Outcome of a call: `failed` is the peer's refusal; after `lost` it is unknown whether the call was executed. */
 export type CallOutcome =
   | { outcome: 'answered'; value: unknown }
   | { outcome: 'failed'; value: unknown }
   | { outcome: 'lost' };
 
-/** Serves a call from a peer; a thrown `CallRefused` value travels back as a refusal. */
+/** Serves a call from a peer; the value of a thrown `CallRefused` is sent back as a refusal. */
 export type CallHandler = (args: unknown, link: Link) => Promise<unknown>;
--- a/packages/link/test/fuzz.test.ts
+++ b/packages/link/test/fuzz.test.ts
@@ -6,7 +6,7 @@
   decodeFrame,
   decodeHello,
   encodeFrame,
-  frameBytes,
+  addLengthPrefix,
 } from '../src/index.js';
 
 const SEED = 5770;
@@ -24,8 +24,8 @@
   fc.record({ t: fc.constant('call'), seq: fc.nat(), method: fc.string(), args: fc.anything() }),
 ) as unknown as fc.Arbitrary<Frame>;
 
-/** Cuts bytes into pieces, as TCP may deliver them. */
-const cut = (whole: Buffer, sizes: number[]): Buffer[] => {
+/** Splits bytes into pieces, as TCP may deliver them. */
+const splitAt = (whole: Buffer, sizes: number[]): Buffer[] => {
   const pieces: Buffer[] = [];
   let at = 0;
   for (const size of sizes) {
@@ -44,14 +44,14 @@
 };
 
 describe('frames', () => {
-  it('come out as they went in, however TCP cuts them', () => {
+  it('are decoded as they were encoded, however TCP splits them', () => {
     const property = fc.property(
       fc.array(anyFrame, { minLength: 1, maxLength: 8 }),
       fc.array(fc.integer({ min: 1, max: 40 }), { maxLength: 60 }),
       (frames, sizes) => {
         const encoded = frames.map(encodeFrame);
         const whole = payloadsOf([Buffer.concat(encoded)]);
-        const inPieces = payloadsOf(cut(Buffer.concat(encoded), sizes));
+        const inPieces = payloadsOf(splitAt(Buffer.concat(encoded), sizes));
         expect(inPieces.map(String)).to.deep.equal(whole.map(String));
         expect(inPieces.map((payload) => decodeFrame(payload).ok)).to.not.include(false);
       },
@@ -59,9 +59,9 @@
     fc.assert(property, { seed: SEED, numRuns: 300 });
   });
 
-  // A peer sends whatever it likes. Nothing may throw, as that would end the whole process; a fault
-  // is a value, which ends this one link.
-  it('that are malformed are values, never exceptions', () => {
+  // A peer may send any bytes. An exception would end the whole process, so faults are returned as
+  // values, which close this one link.
+  it('that are malformed give error values, never exceptions', () => {
     const property = fc.property(fc.uint8Array({ maxLength: 256 }), (noise) => {
       const payload = Buffer.from(noise);
       decodeFrame(payload);
@@ -72,7 +72,7 @@
     fc.assert(property, { seed: SEED, numRuns: 2_000 });
   });
 
-  it('with one changed byte are refused or have the shape of a frame', () => {
+  it('with one changed byte are rejected or still are valid frames', () => {
     const property = fc.property(anyFrame, fc.nat(), fc.nat({ max: 255 }), (frame, at, value) => {
       const payload = encodeFrame(frame).subarray(4);
       payload[at % payload.length] = value;
@@ -83,9 +83,9 @@
     fc.assert(property, { seed: SEED, numRuns: 1_000 });
   });
 
-  // A length field of gigabytes must not make this process wait for them, or reserve them.
-  it('above the limit are refused by their header alone', () => {
-    const header = frameBytes(Buffer.alloc(LIMIT + 1)).subarray(0, 4);
+  // A length field of gigabytes must not make this process wait for that many bytes or allocate them.
+  it('above the limit are rejected by their header alone', () => {
+    const header = addLengthPrefix(Buffer.alloc(LIMIT + 1)).subarray(0, 4);
     expect(createFrameSplitter(LIMIT).push(header)).to.deep.equal({
       ok: false,
       err: 'frame-too-large',
--- a/packages/link/test/intake.test.ts
+++ b/packages/link/test/intake.test.ts
@@ -1,58 +1,58 @@
 import { EventEmitter, once } from 'node:events';
 import type { Socket } from 'node:net';
 import { expect } from 'chai';
-import { frameBytes } from '../src/framing.js';
-import { startIntake } from '../src/intake.js';
+import { addLengthPrefix } from '../src/framing.js';
+import { startPayloadReader } from '../src/intake.js';
 
-/** An intake over a socket whose events a test raises; notes what it does in order. */
-const start = (take: (payload: string) => void | Promise<void> = () => {}) => {
-  const notes: string[] = [];
+/** A payload reader on a socket whose events the test emits; records its calls in order. */
+const start = (handle: (payload: string) => void | Promise<void> = () => {}) => {
+  const calls: string[] = [];
   const events = new EventEmitter();
   const socket = Object.assign(events, {
-    pause: () => notes.push('pause'),
-    resume: () => notes.push('resume'),
+    pause: () => calls.push('pause'),
+    resume: () => calls.push('resume'),
   }) as unknown as Socket;
-  const intake = startIntake({
+  const reader = startPayloadReader({
     socket,
     frameBytes: 100,
     onBytes: () => {},
-    take: (payload) => {
-      notes.push(payload.toString());
-      return take(payload.toString());
+    handlePayload: (payload) => {
+      calls.push(payload.toString());
+      return handle(payload.toString());
     },
-    onFault: (fault) => notes.push(fault),
-    onTakeFailed: (err) => notes.push(`failed ${String(err)}`),
-    onEnd: (why) => notes.push(why),
-    onOver: () => {
-      notes.push('over');
+    onFramingFault: (fault) => calls.push(fault),
+    onHandlerFailed: (err) => calls.push(`failed ${String(err)}`),
+    onInputEnd: (why) => calls.push(why),
+    onClosed: () => {
+      calls.push('over');
       events.emit('over');
     },
   });
   const read = (...payloads: string[]): void => {
-    const framed = payloads.map((payload) => frameBytes(Buffer.from(payload)));
+    const framed = payloads.map((payload) => addLengthPrefix(Buffer.from(payload)));
     events.emit('data', Buffer.concat(framed));
   };
-  return { notes, events, intake, read };
+  return { calls, events, reader, read };
 };
 
-const turn = (): Promise<void> =>
+const nextTurn = (): Promise<void> =>
   new Promise((resolve) => {
     setImmediate(resolve);
   });
 
-describe('taking what a link reads', () => {
-  // Each frame passed through an iterator of the stream, a generator and their promises, which took
-  // a third of the time that a beat costs.
-  it('takes all frames of a read in the turn in which it comes in', () => {
-    const { notes, read } = start();
+describe('payload reader', () => {
+  // Frames used to pass through an async iterator of the stream, a generator and their promises,
+  // which took a third of the time spent on a heartbeat.
+  it('handles all frames of a read in the same turn of the event loop', () => {
+    const { calls, read } = start();
     read('a', 'b');
     read('c');
-    expect(notes).to.deep.equal(['a', 'b', 'c']);
+    expect(calls).to.deep.equal(['a', 'b', 'c']);
   });
 
-  it('holds the peer back and keeps the order while one frame is at work', async () => {
+  it('pauses reading and keeps the order while a frame is being handled', async () => {
     let done = (): void => {};
-    const { notes, read, intake } = start((payload) =>
+    const { calls, read, reader } = start((payload) =>
       payload === 'a'
         ? new Promise((resolve) => {
             done = resolve;
@@ -61,22 +61,23 @@
     );
     read('a', 'b');
     read('c');
-    await turn();
-    expect(notes).to.deep.equal(['a', 'pause']);
-    expect(intake.isBusy()).to.equal(true);
+    await nextTurn();
+    expect(calls).to.deep.equal(['a', 'pause']);
+    expect(reader.isBusy()).to.equal(true);
     done();
-    await turn();
-    expect(notes).to.deep.equal(['a', 'pause', 'resume', 'b', 'c']);
+    await nextTurn();
+    expect(calls).to.deep.equal(['a', 'pause', 'resume', 'b', 'c']);
   });
 
-  // A reply that came in just before the peer closed the link would be lost, and its call unknown.
-  it('takes what was read before the peer closed, and ends only then', async () => {
-    const { notes, read, events } = start((payload) => (payload === 'a' ? turn() : undefined));
+  // Otherwise a reply that arrives just before the peer closes the link would be lost, and the
+  // outcome of its call unknown.
+  it('handles what was read before the peer closed, and only then ends', async () => {
+    const { calls, read, events } = start((payload) => (payload === 'a' ? nextTurn() : undefined));
     read('a', 'b');
     events.emit('end');
     events.emit('close');
     await once(events, 'over');
-    expect(notes.filter((note) => note !== 'pause' && note !== 'resume')).to.deep.equal([
+    expect(calls.filter((call) => call !== 'pause' && call !== 'resume')).to.deep.equal([
       'a',
       'b',
       'closed-by-peer',
@@ -84,22 +85,22 @@
     ]);
   });
 
-  it('takes nothing more once it is stopped', () => {
-    const { notes, read, intake } = start(() => intake.stop());
+  it('handles nothing more once it is stopped', () => {
+    const { calls, read, reader } = start(() => reader.stop());
     read('a', 'b');
     read('c');
-    expect(notes).to.deep.equal(['a']);
+    expect(calls).to.deep.equal(['a']);
   });
 
-  it('tells a fault of a taker, thrown or rejected, and of the bytes', async () => {
-    const { notes, read, events } = start((payload) => {
+  it('reports a failed handler, thrown or rejected, and malformed bytes', async () => {
+    const { calls, read, events } = start((payload) => {
       if (payload === 'a') throw new Error('a');
       return payload === 'b' ? Promise.reject(new Error('b')) : undefined;
     });
     read('a', 'b');
-    await turn();
+    await nextTurn();
     events.emit('data', Buffer.from([0, 0, 0, 0]));
-    expect(notes.filter((note) => note !== 'pause' && note !== 'resume')).to.deep.equal([
+    expect(calls.filter((call) => call !== 'pause' && call !== 'resume')).to.deep.equal([
       'a',
       'failed Error: a',
       'b',
--- a/packages/link/test/link.test.ts
+++ b/packages/link/test/link.test.ts
@@ -15,7 +15,7 @@
   encodeFrame,
 } from '../src/index.js';
 
-/** Links that arrived, and their frames, in order. */
+/** Link options whose new links and received frames are queued for the test, in order. */
 interface Inbox {
   options: LinkOptions;
   metrics: Metrics;
@@ -23,28 +23,28 @@
   nextFrame(): Promise<PeerFrame>;
 }
 
-const createMailbox = <T>() => {
+const createQueue = <T>() => {
   const items: T[] = [];
-  const takers: ((item: T) => void)[] = [];
+  const waiters: ((item: T) => void)[] = [];
   return {
     put: (item: T) => {
-      const taker = takers.shift();
-      if (taker) taker(item);
+      const waiter = waiters.shift();
+      if (waiter) waiter(item);
       else items.push(item);
     },
     take: (): Promise<T> => {
       const item = items.shift();
       if (item !== undefined) return Promise.resolve(item);
       return new Promise((resolve) => {
-        takers.push(resolve);
+        waiters.push(resolve);
       });
     },
   };
 };
 
 const createInbox = (role: 'entry' | 'agent', overrides: Partial<LinkOptions> = {}): Inbox => {
-  const links = createMailbox<Link>();
-  const frames = createMailbox<PeerFrame>();
+  const links = createQueue<Link>();
+  const frames = createQueue<PeerFrame>();
   const metrics = createMetrics();
   const options: LinkOptions = {
     identity: { role, node: `${role}-1`, instance: `${role}-i`, dataCentre: 'kent', region: 'nw' },
@@ -133,12 +133,12 @@
     expect((await link.call('test.none', null, 1000)).outcome).to.equal('failed');
   });
 
-  it('tells of a higher intent offset of the peer', async () => {
-    const told = createMailbox<number>();
-    const entry = createInbox('entry', { onPeerOffset: (_, offset) => told.put(offset) });
+  it('reports a higher intent offset of the peer', async () => {
+    const offsets = createQueue<number>();
+    const entry = createInbox('entry', { onPeerOffset: (_, offset) => offsets.put(offset) });
     const agent = createInbox('agent', { intentOffset: () => 7 });
     dial(entry, await listen(agent));
-    expect(await told.take()).to.equal(7);
+    expect(await offsets.take()).to.equal(7);
   });
 
   it('reconnects after the peer has closed, as a new link', async () => {
@@ -153,14 +153,14 @@
     expect(second).to.not.equal(first);
   });
 
-  it('doubles the longest wait up to its bound', () => {
+  it('doubles the upper bound of the reconnect delay up to its maximum', () => {
     const ceilings = [0, 1, 2, 5, 6, 50].map((n) => backoffCeiling(defaultBackoff, n));
     expect(ceilings).to.deep.equal([100, 200, 400, 3200, 5000, 5000]);
   });
 
-  // A peer sends bytes that are no frame, a frame above the limit, or a hello of another version.
-  // That link ends with its own counted reason; a second link on the same server goes on.
-  it('ends only the link that breaks the protocol', async () => {
+  // A peer sends bytes that aren't a frame, a frame above the limit, or a hello of another version.
+  // Its link is closed and counted with the reason; a second link of the same server stays open.
+  it('closes only the link that violates the protocol', async () => {
     const agent = createInbox('agent');
     const entry = createInbox('entry');
     const server = await listen(agent);
@@ -183,9 +183,9 @@
     expect(await agent.nextFrame()).to.deep.equal({ t: 'cancel', id: 'e:9' });
   });
 
-  // A peer connects and never says hello, or says hello and falls silent (frozen, cable pulled).
-  // Without a bound the link would look alive for ever and requests on it would wait.
-  it('ends a link whose peer is silent', async () => {
+  // A peer connects and never sends a hello, or sends one and then nothing more (frozen, cable
+  // pulled). Without a timeout the link would look alive for ever, and requests on it would wait.
+  it('closes a link whose peer sends nothing', async () => {
     const clock = createManualClock();
     const agent = createInbox('agent', { clock });
     const server = await listen(agent);
@@ -202,10 +202,8 @@
     expect(agent.metrics.counter('link_closed', { reason: 'hello-timeout' })).to.equal(1);
   });
 
-  // A peer reads slowly while this side has much to send. `drained()` holds the sender back, so
-  // the unsent bytes stay bounded; a sender that ignores it loses the link, not the process.
-  const QUICK = { ...defaultLinkLimits, heartbeatMs: 20 };
-  const BEATS = 20;
+  const FAST_LIMITS = { ...defaultLinkLimits, heartbeatMs: 20 };
+  const HEARTBEATS = 20;
 
   const pause = (ms: number): Promise<void> =>
     new Promise((resolve) => {
@@ -215,9 +213,9 @@
   /** An inbox that counts the answers to its heartbeats. */
   const createPongCounter = (role: 'entry' | 'agent', heartbeatMs: number) => {
     let pongs = 0;
-    const links = createMailbox<Link>();
+    const links = createQueue<Link>();
     const inbox = createInbox(role, {
-      limits: { ...QUICK, heartbeatMs },
+      limits: { ...FAST_LIMITS, heartbeatMs },
       onLink: (link) => {
         links.put(link);
         return (frame) => {
@@ -228,30 +226,32 @@
     return { inbox, links, pongs: () => pongs };
   };
 
-  // Each side of a link beats, and each beat shows that its sender lives. Answers to beats as well were half of all
-  // frames on idle links, and an agent with a link to each rank of a large group spent a quarter of its time on them.
-  it('needs no answers to heartbeats where both sides beat', async () => {
-    const entry = createPongCounter('entry', QUICK.heartbeatMs);
-    const agent = createPongCounter('agent', QUICK.heartbeatMs);
+  // Both sides of a link send heartbeats, each of which shows that its sender is alive. Answers to them were half of all
+  // frames on idle links: an agent with a link to each rank of a large group spent a quarter of its time on them.
+  it('sends no answers to heartbeats when both sides send heartbeats', async () => {
+    const entry = createPongCounter('entry', FAST_LIMITS.heartbeatMs);
+    const agent = createPongCounter('agent', FAST_LIMITS.heartbeatMs);
     dial(entry.inbox, await listen(agent.inbox));
     await entry.links.take();
-    await pause(BEATS * QUICK.heartbeatMs);
-    expect(entry.pongs() + agent.pongs()).to.be.below(BEATS / 2);
+    await pause(HEARTBEATS * FAST_LIMITS.heartbeatMs);
+    expect(entry.pongs() + agent.pongs()).to.be.below(HEARTBEATS / 2);
   });
 
-  // One side beats rarely, as those of a large group do. Unless it answers, the other one hears nothing for three of its
-  // own beats, and ends a link to a peer that is well.
-  it('is kept by a peer that beats more rarely', async () => {
-    const entry = createPongCounter('entry', QUICK.heartbeatMs);
+  // One side sends heartbeats rarely, as agents of a large group do. Unless it answers, the other side receives nothing
+  // for three of its own heartbeats, and closes a link to a healthy peer.
+  it('stays open to a peer that sends heartbeats less often', async () => {
+    const entry = createPongCounter('entry', FAST_LIMITS.heartbeatMs);
     const agent = createPongCounter('agent', 60_000);
     dial(entry.inbox, await listen(agent.inbox));
     const link = await entry.links.take();
-    const ended = await Promise.race([link.closed, pause(BEATS * QUICK.heartbeatMs)]);
+    const ended = await Promise.race([link.closed, pause(HEARTBEATS * FAST_LIMITS.heartbeatMs)]);
     expect(ended).to.equal(undefined);
-    expect(entry.pongs()).to.be.above(BEATS / 2);
+    expect(entry.pongs()).to.be.above(HEARTBEATS / 2);
   });
 
-  it('bounds what waits for a peer that reads slowly', async () => {
+  // A peer reads slowly while this side has much to send. A sender that awaits `drained()` keeps the
+  // unsent bytes bounded; for one that doesn't, the link is closed before memory runs out.
+  it('bounds the unsent bytes for a peer that reads slowly', async () => {
     const limits = { ...defaultLinkLimits, sendBufferBytes: 65_536, sendBufferMaxBytes: 1_048_576 };
     const agent = createInbox('agent', { limits, clock: createManualClock() });
     const server = await listen(agent);
@@ -277,16 +277,16 @@
     expect(await link.closed).to.equal('send-buffer-full');
   });
 
-  // The handler of one link is slow. Its peer's frames wait in TCP, not in this process, and come
-  // in order once the handler is done.
+  // The handler of a link is slow. The peer's frames must wait in TCP and not in the memory of this
+  // process, and be handled in order.
   it('reads no further while a frame is being handled', async () => {
-    const taken: number[] = [];
-    const gate = createMailbox<true>();
-    const arrived = createMailbox<true>();
+    const handled: number[] = [];
+    const gate = createQueue<true>();
+    const arrived = createQueue<true>();
     const agent = createInbox('agent', {
       onLink: () => async (frame) => {
         if (frame.t !== 'credit') return;
-        taken.push(frame.bytes);
+        handled.push(frame.bytes);
         arrived.put(true);
         await gate.take();
       },
@@ -296,25 +296,25 @@
     const link = await entry.nextLink();
     [1, 2, 3].forEach((bytes) => link.send({ t: 'credit', id: 'e:1', bytes }));
     await arrived.take();
-    expect(taken).to.deep.equal([1]);
+    expect(handled).to.deep.equal([1]);
     gate.put(true);
     await arrived.take();
     gate.put(true);
     await arrived.take();
     gate.put(true);
-    expect(taken).to.deep.equal([1, 2, 3]);
+    expect(handled).to.deep.equal([1, 2, 3]);
   });
 
-  // The reply to a call comes after its time. The caller was told that nothing is known, so the late
-  // reply is dropped and counted, and never taken for the answer to another call.
-  it('drops a reply that comes after its call was given up', async () => {
+  // The reply to a call arrives after its timeout, when the outcome `lost` has been returned. The
+  // late reply is dropped and counted, and must not be matched with another call.
+  it('drops a reply that arrives after its call has timed out', async () => {
     const clock = createManualClock();
-    const asked = createMailbox<true>();
-    const late = createMailbox<true>();
+    const received = createQueue<true>();
+    const late = createQueue<true>();
     const agent = createInbox('agent', {
       handlers: {
         'test.slow': async () => {
-          asked.put(true);
+          received.put(true);
           return late.take();
         },
         'test.fast': async () => 'fast',
@@ -324,7 +324,7 @@
     dial(entry, await listen(agent), clock);
     const link = await entry.nextLink();
     const slow = link.call('test.slow', null, 100);
-    await asked.take();
+    await received.take();
     await clock.advance(100);
     expect(await slow).to.deep.equal({ outcome: 'lost' });
     late.put(true);
@@ -347,17 +347,17 @@
     expect(agent.metrics.counter('link_refused', { reason: 'connections' })).to.equal(1);
   });
 
-  // Code of this process fails on a frame of one peer. That link ends, counted and logged as a
-  // fault of ours and not of the network; the other peer's link goes on.
-  it('ends only the link whose frame could not be handled', async () => {
+  // A handler of this process throws on a frame of one peer. That link is closed, counted and logged
+  // as a fault of this process and not of the network; the other peer's link stays open.
+  it('closes only the link whose frame could not be handled', async () => {
     const errors: string[] = [];
-    const taken = createMailbox<PeerFrame>();
+    const handled = createQueue<PeerFrame>();
     const agent = createInbox('agent', {
       log: { ...silentLogger, error: (message) => errors.push(message) },
       onLink: (link) => (frame) => {
         if (frame.t === 'pong') return;
         if (link.peer.instance === 'bad') throw new Error('no such state');
-        taken.put(frame);
+        handled.put(frame);
       },
     });
     const server = await listen(agent);
@@ -373,6 +373,6 @@
     expect(agent.metrics.counter('link_closed', { reason: 'handler-failed' })).to.equal(1);
     expect(errors).to.have.length(1);
     goodLink.send({ t: 'cancel', id: 'e:2' });
-    expect(await taken.take()).to.deep.equal({ t: 'cancel', id: 'e:2' });
+    expect(await handled.take()).to.deep.equal({ t: 'cancel', id: 'e:2' });
   });
 });
