--- a/packages/intent/src/reader/peer-asker.ts
+++ b/packages/intent/src/reader/peer-asker.ts
@@ -1,5 +1,5 @@
 /**
- * Fetches records from peers that have not arrived from the log.
+ * Fetches records from peers when they don't arrive from the log in time.
  *
  * Frames between nodes carry the sender's replayed offset. A node that receives a higher offset
  * than its own has a gap, and fetches the missing records from the history of that peer. These are
@@ -39,7 +39,7 @@
   close(): void;
 }
 
-/** Peers that must confirm the offset before a node starts without the log, or all linked peers if fewer. */
+/** Peers that must confirm the offset before a node starts without the log; after `quorumWaitMs` fewer suffice. */
 const MIN_CONFIRMING_PEERS = 3;
 
 /** Creates a fetcher and starts polling. */
--- a/packages/intent/src/types.ts
+++ b/packages/intent/src/types.ts
@@ -2,11 +2,11 @@
 
 /** A class of work with its target. */
 export const classSchema = z.strictObject({
-  /** Deadline of the answer (for streams, of the first token), in milliseconds from the request. */
+  /** Target: longest time to the answer (for streams, to the first token), in milliseconds. */
   latestAnswerMs: z.number().int().positive(),
   /** The share of requests to be served within the target, 0 to 1. */
   share: z.number().min(0).max(1).default(0.95),
-  /** `live` is served before every other class. */
+  /** Priority lane; `live` is served before the others. */
   priority: z.enum(['live', 'normal', 'background']).default('normal'),
   /** Requests of this class are never dispatched twice. */
   mayNotRepeat: z.boolean().default(false),
--- a/packages/link/src/connection.ts
+++ b/packages/link/src/connection.ts
@@ -3,8 +3,8 @@
 import type { Socket } from 'node:net';
 import { createLinkCalls } from './calls.js';
 import { decodeFrame, decodeHello, encodeFrame } from './codec.js';
-import { startPayloadReader } from './intake.js';
-import type { PayloadReader } from './intake.js';
+import { startPayloadReader } from './payload-reader.js';
+import type { PayloadReader } from './payload-reader.js';
 import type { Frame, Hello } from './messages.js';
 import type { FrameHandler, LinkOptions } from './options.js';
 import type { Link, LinkCloseReason } from './types.js';
--- a/packages/link/test/intake.test.ts
+++ b/packages/link/test/payload-reader.test.ts
@@ -2,7 +2,7 @@
 import type { Socket } from 'node:net';
 import { expect } from 'chai';
 import { addLengthPrefix } from '../src/framing.js';
-import { startPayloadReader } from '../src/intake.js';
+import { startPayloadReader } from '../src/payload-reader.js';
 
 /** A payload reader on a socket whose events the test emits; records its calls in order. */
 const start = (handle: (payload: string) => void | Promise<void> = () => {}) => {
