--- a/packages/gateway/src/attempts/exchange.ts
+++ b/packages/gateway/src/attempts/exchange.ts
@@ -1,10 +1,10 @@
-/** One HTTP exchange with an upstream on a connection of its own. */
+/** One HTTP exchange with an upstream, on a separate connection. */
 
 import { request } from 'node:http';
 import type { ClientRequest, IncomingMessage } from 'node:http';
 import type { Clock } from '@plantaindrum/common';
 
-/** Where and what to send. */
+/** The request of an exchange and where it is sent. */
 export interface ExchangeRequest {
   host: string;
   port: number;
@@ -14,81 +14,81 @@
   /** Names and values in turn. */
   headers: string[];
   body: Uint8Array;
-  /** Time for the connection to be made, in milliseconds. */
-  connectMs: number;
+  /** Timeout of the connection attempt, in milliseconds. */
+  connectTimeoutMs: number;
 }
 
-/** How the wait for an answer's head ended. */
+/** Result of waiting for the head of a response. */
 export type HeadOutcome =
   | { outcome: 'head'; res: IncomingMessage }
-  /** No connection was made, so nothing was sent: the request has not run and won't. */
+  /** No connection was established, so nothing was sent: the request has not run and won't. */
   | { outcome: 'not-sent'; why: string }
-  /** The request was sent and no head came: it may have run. */
+  /** The request was sent and no head was received: it may have run. */
   | { outcome: 'unknown'; why: string };
 
-/** How the reading of an answer's body ended. */
+/** How a response's body ended. */
 export type BodyEnd = 'whole' | 'broken';
 
-/** A running exchange. */
+/** An exchange in flight. */
 export interface Exchange {
   head: Promise<HeadOutcome>;
-  /** Resolves when the body has ended; anything but a clean end is `broken`. */
+  /** Resolves when the body has ended; any other than a clean end is `broken`. */
   bodyEnd(res: IncomingMessage): Promise<BodyEnd>;
-  /** Reads a body into memory; undefined when it broke off or is larger than `most` bytes. */
-  readBody(res: IncomingMessage, most: number): Promise<Uint8Array | undefined>;
-  /** Gives up; the upstream sees its connection close. */
+  /** Buffers a body; undefined when it broke off or is larger than `maxBytes`. */
+  readBody(res: IncomingMessage, maxBytes: number): Promise<Uint8Array | undefined>;
+  /** Aborts the exchange by closing its connection. */
   abort(): void;
 }
 
 const codeOf = (err: Error): string => (err as NodeJS.ErrnoException).code ?? err.message;
 
 /**
- * Starts an exchange. Each has a connection of its own: on a kept one, a second or late answer of an
- * upstream would be read as the answer to the next request, a request that may not repeat would be
- * lost to an idle timeout that crosses it, and one that went silent would take a request to find out.
+ * Starts an exchange on a new connection. Connections are not reused: on a reused one, a second or late response would
+ * be read as the response to the next request, an idle timeout of the upstream could hit a request that must not be
+ * repeated, and only a failed request would show that the connection is dead.
  */
 export const startExchange = (options: ExchangeRequest, clock: Clock): Exchange => {
-  const { host, port, method, path, headers, body, connectMs } = options;
+  const { host, port, method, path, headers, body, connectTimeoutMs } = options;
   let isConnected = false;
-  let isDone = false;
+  let isSettled = false;
   let hasFailed = false;
   let req: ClientRequest | undefined;
 
   const head = new Promise<HeadOutcome>((resolve) => {
     const settle = (outcome: HeadOutcome): void => {
-      isDone = true;
+      isSettled = true;
       resolve(outcome);
     };
-    const failed = (why: string): void =>
+    const fail = (why: string): void =>
       settle(isConnected ? { outcome: 'unknown', why } : { outcome: 'not-sent', why });
     try {
       req = request({ host, port, method, path, headers, agent: false, setHost: false });
     } catch (err) {
-      failed(codeOf(err as Error));
+      fail(codeOf(err as Error));
       return;
     }
-    const sent = req;
-    const stopTimer = clock.after(connectMs, () => {
-      if (!isConnected) sent.destroy(new Error('connect-timeout'));
+    const clientRequest = req;
+    const stopTimer = clock.after(connectTimeoutMs, () => {
+      if (!isConnected) clientRequest.destroy(new Error('connect-timeout'));
     });
-    sent.on('socket', (socket) => {
+    clientRequest.on('socket', (socket) => {
       socket.setNoDelay(true);
       socket.once('connect', () => {
         isConnected = true;
         stopTimer();
       });
     });
-    sent.on('error', (err) => {
+    clientRequest.on('error', (err) => {
       stopTimer();
       hasFailed = true;
-      if (!isDone) failed(codeOf(err));
+      if (!isSettled) fail(codeOf(err));
     });
-    sent.on('response', (res) => settle({ outcome: 'head', res }));
-    sent.end(body);
+    clientRequest.on('response', (res) => settle({ outcome: 'head', res }));
+    clientRequest.end(body);
   });
 
-  // A body without a length ends with its connection. Node's parser takes a reset for that end, too,
-  // and marks the answer as complete; only the error tells a cut body from a whole one.
+  // A body without a length ends with its connection. Node's parser accepts a connection reset as this end, too,
+  // and marks the response as complete; only the error distinguishes a truncated body from a complete one.
   const bodyEnd = (res: IncomingMessage): Promise<BodyEnd> =>
     new Promise((resolve) => {
       res.once('error', () => resolve('broken'));
@@ -98,16 +98,18 @@
   return {
     head,
     bodyEnd,
-    readBody: async (res, most) => {
+    readBody: async (res, maxBytes) => {
       const chunks: Uint8Array[] = [];
       let size = 0;
       const ended = bodyEnd(res);
       res.on('data', (chunk: Uint8Array) => {
         size += chunk.length;
-        if (size > most) res.destroy();
+        if (size > maxBytes) res.destroy();
         else chunks.push(chunk);
       });
-      return (await ended) === 'whole' && size <= most ? Buffer.concat(chunks, size) : undefined;
+      return (await ended) === 'whole' && size <= maxBytes
+        ? Buffer.concat(chunks, size)
+        : undefined;
     },
     abort: () => {
       req?.destroy();
--- a/packages/gateway/src/door.ts
+++ b/packages/gateway/src/door.ts
@@ -1,4 +1,4 @@
-/** The callers' door: HTTP/1.1 in, with limits on what a caller may send and how long it may take. */
+/** HTTP/1.1 server for callers, with limits on what a caller may send and how long it may take. */
 
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
@@ -12,74 +12,76 @@
   port: number;
 }
 
-/** The callers' door. */
-export interface Door {
-  /** Takes the operators' limits. */
-  limit(limits: CallerLimits): void;
-  /** Requests that have no whole answer yet. */
-  open(): number;
-  /** Takes no new connection, and ends each as soon as nothing is under way on it. */
+/** A running caller server. */
+export interface CallerServer {
+  /** Applies the operators' limits. */
+  setLimits(limits: CallerLimits): void;
+  /** Number of requests whose response is not complete. */
+  openRequests(): number;
+  /** Accepts no new connections, and closes each connection as soon as it has no request in flight. */
   stopListening(): void;
+  /** Closes all connections. */
   close(): void;
 }
 
-/** Options of `createDoor`. */
-export interface DoorOptions {
+/** Options of `createCallerServer`. */
+export interface CallerServerOptions {
   listen: ListenAddress;
   handle: (req: IncomingMessage, res: ServerResponse) => void;
-  /** Most connections at once, from the descriptors that the process may have. */
+  /** Maximum number of concurrent connections, derived from the file descriptors that the process may open. */
   maxConnections: number;
   metrics: Metrics;
   log: EventLog;
 }
 
-/** Header sizes above this are refused whatever the intent says, in bytes. */
+/** Larger headers are refused whatever the intent says, in bytes. */
 const MAX_HEADER_BYTES = 65_536;
-/** How often slow callers are looked for, in ms. */
-const CHECK_MS = 500;
-/** Kept beyond the callers' own idle limit, in ms: a connection that they may use is never closed. */
-const IDLE_SLACK_MS = 2_000;
-/** Idle limit before any intent is known, in ms. */
-const FIRST_IDLE_MS = 15_000;
-const FIRST_HEADER_MS = 3_000;
-/** A body that is not whole by then was given up by its caller, in ms. */
-const BODY_MS = 30_000;
+/** How often connections are checked for timeouts, in ms. */
+const TIMEOUT_CHECK_INTERVAL_MS = 500;
+/** Added to the idle timeout of callers, in ms, so that a connection that a caller may still use is never closed. */
+const IDLE_TIMEOUT_MARGIN_MS = 2_000;
+/** Idle timeout until the first intent is known, in ms. */
+const INITIAL_IDLE_TIMEOUT_MS = 15_000;
+/** Header timeout until the first intent is known, in ms. */
+const INITIAL_HEADER_TIMEOUT_MS = 3_000;
+/** Timeout of a complete request, in ms: a caller whose body takes longer has given up. */
+const REQUEST_TIMEOUT_MS = 30_000;
 
-const statusOf = (err: NodeJS.ErrnoException): [number, string] => {
+const statusForError = (err: NodeJS.ErrnoException): [number, string] => {
   if (err.code === 'HPE_HEADER_OVERFLOW') return [431, 'Request Header Fields Too Large'];
   if (err.code === 'ERR_HTTP_REQUEST_TIMEOUT') return [408, 'Request Timeout'];
   return [400, 'Bad Request'];
 };
 
-/** Opens the door; rejects when the address is in use. */
-export const createDoor = async (options: DoorOptions): Promise<Door> => {
+/** Starts the server; rejects when the address is in use. */
+export const createCallerServer = async (options: CallerServerOptions): Promise<CallerServer> => {
   const { listen, handle, maxConnections, metrics, log } = options;
-  let open = 0;
-  let isEnding = false;
-  let headerBytes = MAX_HEADER_BYTES;
+  let openRequests = 0;
+  let isDraining = false;
+  let maxHeaderBytes = MAX_HEADER_BYTES;
 
   const isHeaderTooLarge = (req: IncomingMessage): boolean =>
-    req.rawHeaders.reduce((sum, field) => sum + field.length + 2, 0) > headerBytes;
+    req.rawHeaders.reduce((sum, field) => sum + field.length + 2, 0) > maxHeaderBytes;
 
   const server: Server = createServer(
     {
       maxHeaderSize: MAX_HEADER_BYTES,
-      keepAliveTimeout: FIRST_IDLE_MS + IDLE_SLACK_MS,
-      headersTimeout: FIRST_HEADER_MS,
-      requestTimeout: BODY_MS,
-      connectionsCheckingInterval: CHECK_MS,
+      keepAliveTimeout: INITIAL_IDLE_TIMEOUT_MS + IDLE_TIMEOUT_MARGIN_MS,
+      headersTimeout: INITIAL_HEADER_TIMEOUT_MS,
+      requestTimeout: REQUEST_TIMEOUT_MS,
+      connectionsCheckingInterval: TIMEOUT_CHECK_INTERVAL_MS,
       noDelay: true,
       requireHostHeader: true,
     },
     (req, res) => {
-      open += 1;
+      openRequests += 1;
       res.once('close', () => {
-        open -= 1;
+        openRequests -= 1;
       });
-      // An answer that began before the stop did not tell its caller that the connection ends, and
-      // the next request on it would be cut with the process.
+      // A response that began before the stop has no `Connection: close`, so its caller could send another
+      // request on the connection, which would be cut off when the process exits.
       res.once('finish', () => {
-        if (isEnding) req.socket.end();
+        if (isDraining) req.socket.end();
       });
       if (isHeaderTooLarge(req)) {
         metrics.count('gateway_malformed', { status: '431' });
@@ -96,10 +98,12 @@
       socket.destroy();
       return;
     }
-    const [status, text] = statusOf(err);
+    const [status, statusText] = statusForError(err);
     metrics.count('gateway_malformed', { status: String(status) });
     log.event('malformed-request', { status, code: err.code });
-    socket.end(`HTTP/1.1 ${status} ${text}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`);
+    socket.end(
+      `HTTP/1.1 ${status} ${statusText}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`,
+    );
   });
   server.on('drop', () => metrics.count('gateway_connections_dropped'));
 
@@ -109,14 +113,14 @@
   });
 
   return {
-    limit: (limits) => {
-      headerBytes = limits.headerBytes;
-      server.keepAliveTimeout = limits.idleTimeoutMs + IDLE_SLACK_MS;
+    setLimits: (limits) => {
+      maxHeaderBytes = limits.headerBytes;
+      server.keepAliveTimeout = limits.idleTimeoutMs + IDLE_TIMEOUT_MARGIN_MS;
       server.headersTimeout = limits.headerTimeoutMs;
     },
-    open: () => open,
+    openRequests: () => openRequests,
     stopListening: () => {
-      isEnding = true;
+      isDraining = true;
       server.close();
       server.closeIdleConnections();
     },
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -1,13 +1,13 @@
-/** The entry before upstreams that are reached directly: what it follows, serves and stops. */
+/** An entry that reaches its upstreams directly: assembles its parts, and starts and stops them. */
 
 import type { Clock, EventLog, Metrics, Random } from '@plantaindrum/common';
 import { sleep } from '@plantaindrum/common';
 import type { NodeRecord, PublishNode } from '@plantaindrum/mirror';
 import { createAdmission } from './admission/admission.js';
 import { createReopening } from './admission/reopening.js';
-import { createDoor } from './door.js';
+import { createCallerServer } from './door.js';
 import type { ListenAddress } from './door.js';
-import { createIntentReader } from './intent/intent-order.js';
+import { createIntentReader } from './intent/intent-reader.js';
 import { createRouteTable } from './intent/route-table.js';
 import type { RouteTable } from './intent/route-table.js';
 import { followEntryTopics } from './mesh/entry-topics.js';
@@ -16,9 +16,9 @@
 import { createLoadTeller } from './mesh/load-share.js';
 import { createMesh } from './mesh/mesh.js';
 import type { Mesh } from './mesh/mesh.js';
-import { createEndCheck, tryConnect } from './attempts/end-check.js';
+import { createExitCheck, tryConnect } from './attempts/exit-check.js';
 import { createQuarantine } from './quarantine/index.js';
-import { createReadinessDoor } from './readiness-door.js';
+import { createReadinessServer } from './readiness-server.js';
 import { createRetryBudget } from './retry/budget.js';
 import type { RetryLimits } from './retry/budget.js';
 import { createRequestHandler } from './serving/serve-request.js';
@@ -27,7 +27,7 @@
 import type { DecodeUpstream } from './upstreams/directory.js';
 import { createRateLimits } from './upstreams/rate-limits.js';
 
-/** Where an entry listens. */
+/** Addresses that an entry listens on. */
 export interface GatewayAddresses {
   callers: ListenAddress;
   readiness: ListenAddress;
@@ -35,10 +35,10 @@
   metrics: ListenAddress & { path: string };
 }
 
-/** Bounds that the operators declare; they may change while the entry runs. */
+/** Limits set by the operators; they may change while the entry runs. */
 export interface GatewayBounds {
   retries: RetryLimits;
-  /** Time from the signal to stop until the process is ended, in milliseconds. */
+  /** Time from the stop signal until the process is killed, in milliseconds. */
   graceMs: number;
 }
 
@@ -49,11 +49,11 @@
   addresses: GatewayAddresses;
   seeds: readonly ListenAddress[];
   bounds: GatewayBounds;
-  /** Callers' connections that are taken at once. */
+  /** Maximum number of concurrent connections of callers. */
   maxConnections: number;
   topics: TopicsOfEntry;
   publish: PublishNode;
-  /** Writes to the topic of requests in quarantine; without a value the key is dropped. */
+  /** Writes to the topic of quarantined requests; without a value it removes the key. */
   publishQuarantine: (key: string, value: Uint8Array | undefined) => Promise<boolean>;
   /** Key of the intent in its topic. */
   intentKey: string;
@@ -68,30 +68,32 @@
 
 /** A running entry. */
 export interface Gateway {
+  /** Applies changed limits. */
   setBounds(bounds: GatewayBounds): void;
-  /** Stops without cutting a request; resolves when nothing is under way or the grace is over. */
+  /** Shuts down gracefully; resolves when no request is in flight or the grace period is over. */
   stop(): Promise<void>;
 }
 
-/** After the signal to stop the balancer still sends new connections for two of its checks, in ms. */
-const LISTEN_ON_MS = 3_200;
-/** Kept free at the end of the grace, in ms, to end in order. */
-const GRACE_SLACK_MS = 300;
-const STOP_CHECK_MS = 50;
-/** How often a caller that came before the first intent looks for it, in ms. */
-const INTENT_CHECK_MS = 10;
+/** After the stop signal the load balancer still sends new connections for two probe intervals, in ms. */
+const LISTEN_AFTER_STOP_MS = 3_200;
+/** Part of the grace period that is reserved for an orderly exit, in ms. */
+const SHUTDOWN_RESERVE_MS = 300;
+/** How often a stopping entry checks whether all requests have ended, in ms. */
+const IDLE_CHECK_INTERVAL_MS = 50;
+/** How often a request that arrived before the first intent checks for it, in ms. */
+const INTENT_POLL_MS = 10;
 
 /** Starts an entry; rejects when one of its addresses is in use. */
 export const createGateway = async (options: GatewayOptions): Promise<Gateway> => {
   const { self, topics, clock, random, metrics, log } = options;
   let { bounds } = options;
-  let table: RouteTable | undefined;
+  let routeTable: RouteTable | undefined;
   let isStopping = false;
   let isClosing = false;
 
-  // What is followed asks the mesh, and the mesh answers from the mirrors; the mesh comes last.
+  // The followed topics call the mesh, and the mesh reads from their mirrors; the mesh is created last.
   let mesh: Mesh | undefined;
-  const followed = createFollowedTopics({ mesh: () => mesh, clock, metrics, log });
+  const followedTopics = createFollowedTopics({ mesh: () => mesh, clock, metrics, log });
 
   const quarantine = createQuarantine({
     tell: (news) => mesh?.tellCrashes(news),
@@ -100,7 +102,7 @@
     metrics,
     log,
   });
-  const checkEnd = createEndCheck<UpstreamRecord>(
+  const checkExit = createExitCheck<UpstreamRecord>(
     (upstream) => quarantine.noteEnded(upstream, 'refused-connection'),
     (host, port) => tryConnect(host, port, clock),
     clock,
@@ -109,10 +111,10 @@
   const directory = createDirectory({
     decode: options.decodeUpstream,
     dataCentre: self.dataCentre,
-    onEnded: (upstream) => quarantine.noteEnded(upstream, 'started-again'),
-    maxConnections: (service) => table?.service(service)?.maxConnections ?? Infinity,
-    linkedShare: () => mesh?.linkedShare() ?? 1,
-    logBackAt: () => followed.follower(topics.upstreams.name)?.logBackAt() ?? -Infinity,
+    onExited: (upstream) => quarantine.noteEnded(upstream, 'started-again'),
+    maxConnections: (service) => routeTable?.service(service)?.maxConnections ?? Infinity,
+    connectedFraction: () => mesh?.linkedShare() ?? 1,
+    logRecoveredAt: () => followedTopics.follower(topics.upstreams.name)?.logBackAt() ?? -Infinity,
     clock,
     random,
     metrics,
@@ -129,9 +131,9 @@
   const budget = createRetryBudget({ limits: () => bounds.retries, entries, clock });
   const reopening = createReopening({ clock, metrics, log });
 
-  const untilIntent = async (waitMs: number): Promise<void> => {
-    const until = clock.monotonic() + waitMs;
-    while (!table && clock.monotonic() < until) await sleep(clock, INTENT_CHECK_MS);
+  const waitForIntent = async (timeoutMs: number): Promise<void> => {
+    const deadline = clock.monotonic() + timeoutMs;
+    while (!routeTable && clock.monotonic() < deadline) await sleep(clock, INTENT_POLL_MS);
   };
 
   const handle = createRequestHandler({
@@ -142,7 +144,7 @@
     rateLimits,
     reopening,
     quarantine,
-    checkEnd,
+    checkExit,
     entries,
     clock,
     random,
@@ -150,12 +152,12 @@
     log,
     isStopping: () => isStopping,
     isClosing: () => isClosing,
-    table: () => table,
-    untilIntent,
-    intentAge: () => followed.follower(topics.intent.name)?.age() ?? Infinity,
+    routeTable: () => routeTable,
+    waitForIntent,
+    intentAgeMs: () => followedTopics.follower(topics.intent.name)?.age() ?? Infinity,
   });
 
-  const door = await createDoor({
+  const callerServer = await createCallerServer({
     listen: options.addresses.callers,
     handle,
     maxConnections: options.maxConnections,
@@ -163,29 +165,29 @@
     log,
   });
 
-  const intents = createIntentReader(options.decodeIntent);
-  const takeIntent = (value: Uint8Array): void => {
-    const intent = intents.read(value);
+  const intentReader = createIntentReader(options.decodeIntent);
+  const applyIntent = (value: Uint8Array): void => {
+    const intent = intentReader.read(value);
     if (!intent) {
       metrics.count('gateway_intent_unreadable');
       log.event('intent-unreadable', { bytes: value.length });
       return;
     }
-    // Never back: an older version from a store or a peer that lags is left out.
-    if (table && intent.version <= table.intent.version) return;
-    table = createRouteTable(intent);
-    door.limit(intent.limits);
+    // An older version, from a store or a peer that lags behind, is ignored.
+    if (routeTable && intent.version <= routeTable.intent.version) return;
+    routeTable = createRouteTable(intent);
+    callerServer.setLimits(intent.limits);
     log.event('intent-in-force', { version: intent.version, routes: intent.routes.length });
   };
 
   const entryTopics = followEntryTopics({
     self,
     topics,
-    followed,
+    followed: followedTopics,
     publish: options.publish,
     intentKey: options.intentKey,
-    isNewerIntent: intents.isNewer,
-    onIntent: takeIntent,
+    isNewerIntent: intentReader.isNewer,
+    onIntent: applyIntent,
     onUpstream: directory.apply,
     onNodes: (nodes) => mesh?.setNodes(nodes),
     onQuarantine: quarantine.takeRecord,
@@ -194,15 +196,15 @@
     log,
   });
 
-  const ownCounts = (): Map<string, number> =>
+  const localCounts = (): Map<string, number> =>
     new Map(
       directory
         .all()
         .filter((upstream) => upstream.inFlight() > 0)
         .map((upstream) => [upstream.record.instance, upstream.inFlight()]),
     );
-  const loadTeller = createLoadTeller({
-    counts: ownCounts,
+  const loadBroadcaster = createLoadTeller({
+    counts: localCounts,
     tell: (share) => mesh?.shareLoad(share),
     clock,
   });
@@ -212,45 +214,46 @@
     region: options.region,
     listen: options.addresses.links,
     seeds: options.seeds,
-    intentVersion: () => Math.trunc(table?.intent.version ?? -1),
+    intentVersion: () => Math.trunc(routeTable?.intent.version ?? -1),
     onPeerAhead: entryTopics.intent.hurry,
-    onShare: directory.notePeerLoad,
-    wholeShare: loadTeller.whole,
+    onShare: directory.applyPeerLoad,
+    wholeShare: loadBroadcaster.whole,
     onRateNews: rateLimits.takeNews,
     wholeRateNews: rateLimits.whole,
     onCrashNews: quarantine.takeNews,
     wholeCrashNews: quarantine.whole,
-    onPush: (topic, push) => followed.follower(topic)?.takePush(push),
+    onPush: (topic, push) => followedTopics.follower(topic)?.takePush(push),
     onPeerGone: (peer) => {
       directory.all().forEach((upstream) => upstream.forgetPeer(peer));
       quarantine.forgetPeer(peer);
     },
-    onPace: directory.notePace,
-    recordsAfter: followed.recordsAfter,
+    onPace: directory.recordSlowdown,
+    recordsAfter: followedTopics.recordsAfter,
     clock,
     random,
     metrics,
     log,
   });
 
-  const isReady = (): boolean => !isStopping && table !== undefined && entryTopics.hasUpstreams();
-  const readiness = await createReadinessDoor(
+  const isReady = (): boolean =>
+    !isStopping && routeTable !== undefined && entryTopics.hasUpstreams();
+  const readinessServer = await createReadinessServer(
     options.addresses.readiness,
     options.addresses.metrics.path,
     isReady,
     metrics,
   );
-  const metricsDoor = await createReadinessDoor(
+  const metricsServer = await createReadinessServer(
     options.addresses.metrics,
     options.addresses.metrics.path,
     isReady,
     metrics,
   );
 
-  const untilIdle = async (by: number): Promise<void> => {
-    while (door.open() > 0 && clock.monotonic() < by) {
+  const waitUntilIdle = async (deadline: number): Promise<void> => {
+    while (callerServer.openRequests() > 0 && clock.monotonic() < deadline) {
       await new Promise<void>((resolve) => {
-        clock.after(STOP_CHECK_MS, resolve);
+        clock.after(IDLE_CHECK_INTERVAL_MS, resolve);
       });
     }
   };
@@ -258,23 +261,23 @@
   const stop = async (): Promise<void> => {
     isStopping = true;
     const now = clock.monotonic();
-    log.event('stopping', { open: door.open(), graceMs: bounds.graceMs });
-    const endBy = now + bounds.graceMs - GRACE_SLACK_MS;
-    const listenMs = Math.min(LISTEN_ON_MS, bounds.graceMs / 2);
+    log.event('stopping', { open: callerServer.openRequests(), graceMs: bounds.graceMs });
+    const drainDeadline = now + bounds.graceMs - SHUTDOWN_RESERVE_MS;
+    const listenMs = Math.min(LISTEN_AFTER_STOP_MS, bounds.graceMs / 2);
     await new Promise<void>((resolve) => {
       clock.after(listenMs, resolve);
     });
     isClosing = true;
-    door.stopListening();
-    await untilIdle(endBy);
-    log.event('stopped', { cut: door.open() });
-    followed.close();
+    callerServer.stopListening();
+    await waitUntilIdle(drainDeadline);
+    log.event('stopped', { cut: callerServer.openRequests() });
+    followedTopics.close();
     quarantine.close();
     entryTopics.close();
-    readiness.close();
-    metricsDoor.close();
-    loadTeller.close();
-    // Not waited for: a peer that has stopped reading would use up the rest of the grace.
+    readinessServer.close();
+    metricsServer.close();
+    loadBroadcaster.close();
+    // Not awaited: a peer that has stopped reading would use up the rest of the grace period.
     void mesh?.close();
     log.flush();
   };
--- a/packages/gateway/src/intent/route-table.ts
+++ b/packages/gateway/src/intent/route-table.ts
@@ -1,9 +1,9 @@
 import type { Intent, Organisation, Route, Service } from '../types.js';
 
-/** The operators' intent, arranged for look-ups. */
+/** The operators' intent, indexed for lookups. */
 export interface RouteTable {
   readonly intent: Intent;
-  /** The route with the longest prefix that begins the path. */
+  /** The route of the host with the longest prefix that matches the path. */
   route(host: string, path: string): Route | undefined;
   organisation(apiKey: string): Organisation | undefined;
   service(name: string): Service | undefined;
@@ -11,7 +11,7 @@
 
 const withoutPort = (host: string): string => host.replace(/:\d+$/, '').toLowerCase();
 
-/** Arranges an intent for look-ups. */
+/** Indexes an intent for lookups. */
 export const createRouteTable = (intent: Intent): RouteTable => {
   const byHost = new Map<string, Route[]>();
   for (const route of intent.routes) {
@@ -36,13 +36,13 @@
   };
 };
 
-/** Picks a service of a route by its shares; `random` is uniform in [0, 1). */
+/** Selects a service of a route at random by weight; `random` is uniform in [0, 1). */
 export const pickService = (route: Route, random: () => number): string | undefined => {
   const total = route.services.reduce((sum, { weight }) => sum + weight, 0);
-  let left = random() * total;
+  let remaining = random() * total;
   for (const { service, weight } of route.services) {
-    left -= weight;
-    if (left < 0) return service;
+    remaining -= weight;
+    if (remaining < 0) return service;
   }
   return route.services[0]?.service;
 };
--- a/packages/gateway/src/intent/shortest-pause.ts
+++ b/packages/gateway/src/intent/shortest-pause.ts
@@ -1,15 +1,18 @@
-/** What callers of one service want of its streams, over all routes that lead to it. */
+/** Combines the latency targets of all routes that lead to one service. */
 
 import type { Route } from '../types.js';
 
-/** The shortest pause that any of these routes aims for at the service, in ms; undefined where none does. */
+/**
+ * Returns the shortest target pause between two events that a route sets for the service, in ms; undefined if none
+ * does.
+ */
 export const shortestPause = (
   routes: readonly Pick<Route, 'services' | 'targetPauseMs'>[],
   service: string | undefined,
 ): number | undefined => {
-  const leading = routes.filter(({ services }) =>
-    services.some((share) => share.service === service),
+  const matching = routes.filter(({ services }) =>
+    services.some((weighted) => weighted.service === service),
   );
-  const targets = leading.flatMap(({ targetPauseMs }) => targetPauseMs ?? []);
+  const targets = matching.flatMap(({ targetPauseMs }) => targetPauseMs ?? []);
   return targets.length > 0 ? Math.min(...targets) : undefined;
 };
--- a/packages/gateway/src/readiness-door.ts
+++ b/packages/gateway/src/readiness-server.ts
@@ -1,22 +1,24 @@
-/** Answers the platform's balancer: may this entry have new connections? */
+/** Server for the readiness probes of the platform's load balancer, and for metrics. */
 
 import { createServer } from 'node:http';
 import type { Server } from 'node:http';
 import type { Metrics } from '@plantaindrum/common';
 import type { ListenAddress } from './door.js';
 
-/** The balancer's door. */
-export interface ReadinessDoor {
+/** A running readiness server. */
+export interface ReadinessServer {
   close(): void;
 }
 
-/** Opens the door; any path but that of the metrics asks for readiness. */
-export const createReadinessDoor = async (
+/**
+ * Starts the server; every path except that of the metrics is a readiness probe. Rejects when the address is in use.
+ */
+export const createReadinessServer = async (
   listen: ListenAddress,
   metricsPath: string,
   isReady: () => boolean,
   metrics: Metrics,
-): Promise<ReadinessDoor> => {
+): Promise<ReadinessServer> => {
   const server: Server = createServer((req, res) => {
     if (req.url === metricsPath) {
       res.end(metrics.exposition());
--- a/packages/gateway/src/serving/attempt.ts
+++ b/packages/gateway/src/serving/attempt.ts
@@ -1,4 +1,4 @@
-/** One attempt at one upstream, from choice to the head of its answer. */
+/** One attempt at one upstream, until the head of its response. */
 
 import type { IncomingMessage } from 'node:http';
 import { startExchange } from '../attempts/exchange.js';
@@ -8,48 +8,50 @@
 import type { Upstream } from '../upstreams/upstream.js';
 import type { CallerRequest, ServingDeps } from './types.js';
 
-/** How an attempt ended before an answer could be passed on. */
+/** How an attempt ended without a response that can be forwarded. */
 export type AttemptFailure =
-  /** Proved not to have run: nothing was sent, or the upstream says so. */
+  /** It is known not to have run: nothing was sent, or the upstream says so. */
   | { outcome: 'not-run'; why: string; wasSent: boolean }
-  /** It may have run and has no answer. */
+  /** It may have run, and has no usable response. */
   | { outcome: 'unknown'; why: string };
 
-/** An answer whose head has come. */
-export interface AttemptAnswer {
+/** A response whose head has been received. */
+export interface AttemptResponse {
   outcome: 'answered';
   res: IncomingMessage;
   fields: AnswerFields;
   status: number;
 }
 
-/** A running attempt. */
+/** An attempt in flight. */
 export interface Attempt {
   upstream: Upstream;
-  head: Promise<AttemptAnswer | AttemptFailure>;
+  head: Promise<AttemptResponse | AttemptFailure>;
   bodyEnd: Exchange['bodyEnd'];
   readBody: Exchange['readBody'];
-  /** What the quarantine learns from this attempt. */
-  watched: QuarantineRun;
+  /** Reports to the quarantine how this attempt ends. */
+  run: QuarantineRun;
   abort(): void;
-  /** Ends the attempt: the upstream's slot counts as free, and its connection is closed. */
+  /** Ends the attempt: frees the upstream's slot and closes the connection. */
   end(): void;
 }
 
 /**
- * Time for a connection, in ms: links take about a millisecond, and a lost opening packet is sent
- * again only after a second, so another upstream is the shorter way.
+ * Timeout of a connection attempt, in ms. A connection takes about a millisecond, but a lost SYN packet is sent again
+ * only after a second, so it is faster to try another upstream.
  */
-const CONNECT_MS = 350;
+const CONNECT_TIMEOUT_MS = 350;
+/** Largest urgency value, the least urgent one. */
 const MAX_URGENCY = 9;
 
-const statusesNotRun = new Set([421, 429, 503]);
+/** Statuses that tell a caller that its request did not run. */
+const notRunStatuses = new Set([421, 429, 503]);
 
-/** Rank of a request among those that wait, 0 first. */
+/** Urgency of a request among those that wait, 0 first. */
 export const urgencyOf = (request: CallerRequest): number =>
   Math.min(MAX_URGENCY, request.organisation?.priority ?? request.route.priority);
 
-/** Starts an attempt; what is left of the caller's time goes with it. */
+/** Starts an attempt; the remaining time of the request is sent with it. */
 export const startAttempt = (
   request: CallerRequest,
   upstream: Upstream,
@@ -74,28 +76,28 @@
       path: request.req.url ?? '/',
       headers: dialect.writeAttempt(request.req.rawHeaders, attemptFields, request.body.length),
       body: request.body,
-      connectMs: Math.min(CONNECT_MS, attemptFields.deadlineMs),
+      connectTimeoutMs: Math.min(CONNECT_TIMEOUT_MS, attemptFields.deadlineMs),
     },
     clock,
   );
   upstream.begin();
   rateLimits.noteSent(upstream);
-  const watched = deps.quarantine.begin(request.fingerprint, record);
+  const run = deps.quarantine.begin(request.fingerprint, record);
   metrics.count('gateway_attempts', { service: record.service });
   let ended = false;
 
-  const settle = (failure: AttemptFailure): AttemptFailure => {
+  const fail = (failure: AttemptFailure): AttemptFailure => {
     const kind = failure.outcome === 'not-run' && !failure.wasSent ? 'unreachable' : 'failed';
-    // An attempt that was given up here says nothing about its upstream.
+    // An attempt that was aborted here says nothing about its upstream.
     if (!ended) upstream.noteFailure(kind);
-    if (failure.outcome === 'not-run') watched.noteNotRun();
+    if (failure.outcome === 'not-run') run.noteNotRun();
     return failure;
   };
 
-  const judge = (res: IncomingMessage): AttemptAnswer | AttemptFailure => {
+  const classifyResponse = (res: IncomingMessage): AttemptResponse | AttemptFailure => {
     const fields = dialect.readAnswer(res.headers);
     const status = res.statusCode ?? 0;
-    // Another instance at the address says nothing of this one.
+    // A response by another instance at this address says nothing about this one.
     if (status !== 421) {
       const { rateLimit: perSecond, hasReceipt: hasRun } = fields;
       rateLimits.noteAnswer(upstream, {
@@ -105,44 +107,44 @@
         hasRun,
       });
     }
-    if (fields.load) upstream.noteLoad(fields.load.running, fields.load.waiting);
+    if (fields.load) upstream.recordLoad(fields.load.running, fields.load.waiting);
     if (fields.notRun || status === 421) {
       res.resume();
-      // Another instance has the address: this one is gone, though its entry stands for seconds yet.
+      // Another instance has the address: this one has exited, though its entry stays in the list for some seconds.
       if (status === 421) {
-        deps.directory.noteReplaced(upstream);
+        deps.directory.recordReplaced(upstream);
         deps.quarantine.noteEnded(record, 'other-instance');
-      } else upstream.noteRefusal();
-      return settle({ outcome: 'not-run', why: `status-${status}`, wasSent: true });
+      } else upstream.recordRefusal();
+      return fail({ outcome: 'not-run', why: `status-${status}`, wasSent: true });
     }
     if (fields.requestId !== undefined && fields.requestId !== request.id) {
-      return settle({ outcome: 'unknown', why: 'answer-of-another-request' });
+      return fail({ outcome: 'unknown', why: 'answer-of-another-request' });
     }
-    // These statuses promise the caller that nothing ran, which only the upstream's own statement proves.
-    if (statusesNotRun.has(status)) return settle({ outcome: 'unknown', why: `bare-${status}` });
+    // These statuses tell the caller that nothing ran, which only the upstream's own statement proves.
+    if (notRunStatuses.has(status)) return fail({ outcome: 'unknown', why: `bare-${status}` });
     if (status < 300 && !fields.hasReceipt) {
-      return settle({ outcome: 'unknown', why: 'no-receipt' });
+      return fail({ outcome: 'unknown', why: 'no-receipt' });
     }
     return { outcome: 'answered', res, fields, status };
   };
 
   const head = exchange.head.then((outcome) => {
-    if (outcome.outcome === 'head') return judge(outcome.res);
+    if (outcome.outcome === 'head') return classifyResponse(outcome.res);
     if (outcome.outcome === 'not-sent') {
       if (outcome.why === 'ECONNREFUSED') deps.quarantine.noteEnded(record, 'refused-connection');
-      return settle({ outcome: 'not-run', why: outcome.why, wasSent: false });
+      return fail({ outcome: 'not-run', why: outcome.why, wasSent: false });
     }
-    return settle({ outcome: 'unknown', why: outcome.why });
+    return fail({ outcome: 'unknown', why: outcome.why });
   });
 
   const end = (): void => {
     if (ended) return;
     ended = true;
     upstream.end();
-    watched.end();
+    run.end();
     exchange.abort();
   };
 
   const { bodyEnd, readBody } = exchange;
-  return { upstream, head, bodyEnd, readBody, watched, abort: end, end };
+  return { upstream, head, bodyEnd, readBody, run, abort: end, end };
 };
--- a/packages/gateway/src/serving/final-answer.ts
+++ b/packages/gateway/src/serving/final-answer.ts
@@ -1,84 +1,99 @@
-/** The one answer that a request's attempts end with: an upstream's, or the entry's own. */
+/** Ends a request with an upstream's response, or with a refusal by the entry. */
 
-import { beginAnswer, hasField } from './deliver.js';
 import { mayHaveRun, notRun, refuse } from './refuse.js';
+import { hasField, sendHead } from './response-headers.js';
 import type { CallerRequest, RefusalReason, ServingDeps } from './types.js';
 
-/** An upstream's answer that has been read whole. */
-export interface WholeAnswer {
+/** An upstream's response that has been read completely. */
+export interface FullResponse {
   outcome: 'whole';
   status: number;
   headers: string[];
   body: Uint8Array;
-  /** Its end is marked by a length or by chunks, and not by the end of its connection alone. */
+  /** Whether its end is marked by a length or by chunks, and not only by the end of the connection. */
   isFramed: boolean;
 }
 
-/** What the attempts of a request have come to so far. */
-export interface Progress {
-  /** Attempts that ran or may have run, those proved not to have, and of these the ones that were never sent. */
+/** Counts and results of a request's attempts so far. */
+export interface AttemptProgress {
+  /** Number of attempts that ran or may have run. */
   runs: number;
+  /** Number of attempts that are known not to have run. */
   notRuns: number;
+  /** Number of attempts among `notRuns` that were never sent. */
   unsent: number;
-  /** Why the last attempt brought no answer. */
+  /** Why the last attempt had no response. */
   lastWhy: string;
-  /** A failure that an upstream answered; given where no attempt brings more. */
-  failedAnswer: WholeAnswer | undefined;
+  /** The last error response of an upstream; sent if no later attempt succeeds. */
+  failedResponse: FullResponse | undefined;
 }
 
-/** Ways to end a request. */
-export interface FinalAnswer {
+/** Ends one request. */
+export interface RequestCompletion {
   /** Milliseconds since the request arrived. */
-  held(): number;
-  /** Notes an answer that has been given; the status of a stream is not known here. */
-  answered(status: number | undefined): void;
-  deliver(answer: WholeAnswer): void;
-  /** Ends the request with a failure of an upstream, or else with a refusal that promises no more than is proved. */
-  giveUp(reason: RefusalReason): void;
+  elapsedMs(): number;
+  /** Logs and measures a completed response; `status` is undefined for a stream. */
+  recordAnswered(status: number | undefined): void;
+  /** Forwards an upstream's response to the caller. */
+  sendResponse(response: FullResponse): void;
+  /** Sends an upstream's error response if there is one, or else a refusal that claims no more than is known. */
+  endWithFailure(reason: RefusalReason): void;
 }
 
-/** Creates the ways to end one request. */
-export const createFinalAnswer = (
+/** Creates the `RequestCompletion` of one request. */
+export const createRequestCompletion = (
   request: CallerRequest,
-  progress: Progress,
+  progress: AttemptProgress,
   deps: ServingDeps,
-): FinalAnswer => {
+): RequestCompletion => {
   const { route, res } = request;
   const { clock, metrics, log } = deps;
 
-  const held = (): number => Math.round(clock.monotonic() - request.arrivedAt);
+  const elapsedMs = (): number => Math.round(clock.monotonic() - request.arrivedAt);
 
-  const answered = (status: number | undefined): void => {
+  const recordAnswered = (status: number | undefined): void => {
     const { runs, notRuns } = progress;
-    metrics.record('gateway_answer_ms', held(), { kind: route.kind });
-    log.event('answered', { id: request.id, route: route.name, status, runs, notRuns, ms: held() });
+    metrics.record('gateway_answer_ms', elapsedMs(), { kind: route.kind });
+    log.event('answered', {
+      id: request.id,
+      route: route.name,
+      status,
+      runs,
+      notRuns,
+      ms: elapsedMs(),
+    });
   };
 
-  const deliver = ({ status, headers, body, isFramed }: WholeAnswer): void => {
-    // An upstream that crashes in the middle of an answer without a length may end its connection
-    // cleanly, and nothing tells the rest is missing. With a length of ours the caller would take
-    // it for whole for certain, so the answer ends as the upstream's did: with its connection.
+  const sendResponse = ({ status, headers, body, isFramed }: FullResponse): void => {
+    // An upstream that crashes in the middle of a response without a length may still close its connection
+    // cleanly, so a truncated body can't be detected. With a length added here the caller would be certain
+    // that it is complete, so the response ends as the upstream's did: with its connection.
     if (!isFramed) res.removeHeader('Transfer-Encoding');
     const length = ['Content-Length', String(body.length)];
     const isSized = !isFramed || hasField(headers, 'content-length');
-    beginAnswer(res, status, isSized ? headers : [...headers, ...length], deps.isStopping());
+    sendHead(res, status, isSized ? headers : [...headers, ...length], deps.isStopping());
     res.end(body);
-    answered(status);
+    recordAnswered(status);
   };
 
-  const giveUp = (reason: RefusalReason): void => {
-    const { runs, notRuns, unsent, lastWhy, failedAnswer } = progress;
-    if (failedAnswer && !res.headersSent) {
-      deliver(failedAnswer);
+  const endWithFailure = (reason: RefusalReason): void => {
+    const { runs, notRuns, unsent, lastWhy, failedResponse } = progress;
+    if (failedResponse && !res.headersSent) {
+      sendResponse(failedResponse);
       return;
     }
     const refusal =
       runs > 0
         ? mayHaveRun(reason)
         : notRun(reason, deps.random, deps.directory.waitMs(request.service));
-    const context = { id: request.id, route: route.name, heldMs: held(), attempts: runs + notRuns };
+    const context = {
+      id: request.id,
+      route: route.name,
+      heldMs: elapsedMs(),
+      attempts: runs + notRuns,
+    };
     refuse(res, refusal, { ...context, inputs: { lastWhy, unsent } }, deps);
   };
 
-  return { held, answered, deliver, giveUp };
+  return { elapsedMs, recordAnswered, sendResponse, endWithFailure };
 };
--- a/packages/gateway/src/serving/read-caller-body.ts
+++ b/packages/gateway/src/serving/read-caller-body.ts
@@ -1,17 +1,17 @@
 import type { IncomingMessage } from 'node:http';
 
-/** How the reading of a caller's body ended. */
+/** Result of reading a caller's request body. */
 export type CallerBody =
   | { outcome: 'whole'; body: Uint8Array }
   | { outcome: 'too-large' }
-  /** The caller went away or stopped sending. */
+  /** The caller disconnected or stopped sending. */
   | { outcome: 'broken' };
 
-/** Reads a caller's body; a larger one than `most` bytes is not read on. */
-export const readCallerBody = (req: IncomingMessage, most: number): Promise<CallerBody> =>
+/** Buffers a caller's request body; a body of more than `maxBytes` is not kept. */
+export const readCallerBody = (req: IncomingMessage, maxBytes: number): Promise<CallerBody> =>
   new Promise((resolve) => {
-    const declared = Number(req.headers['content-length'] ?? 0);
-    if (declared > most) {
+    const declaredBytes = Number(req.headers['content-length'] ?? 0);
+    if (declaredBytes > maxBytes) {
       resolve({ outcome: 'too-large' });
       return;
     }
@@ -19,7 +19,7 @@
     let size = 0;
     req.on('data', (chunk: Uint8Array) => {
       size += chunk.length;
-      if (size > most) resolve({ outcome: 'too-large' });
+      if (size > maxBytes) resolve({ outcome: 'too-large' });
       else chunks.push(chunk);
     });
     req.once('end', () => resolve({ outcome: 'whole', body: Buffer.concat(chunks) }));
--- a/packages/gateway/src/serving/refuse.ts
+++ b/packages/gateway/src/serving/refuse.ts
@@ -1,26 +1,27 @@
-/** Answers that the entry gives in its own name. */
+/** Refusals: the error responses that the entry itself sends. */
 
 import type { ServerResponse } from 'node:http';
 import type { QuarantineRefusal } from '../quarantine/index.js';
 import type { RefusalReason, ServingDeps } from './types.js';
 
-/** An answer of the entry's own. */
+/** An error response by the entry. */
 export interface Refusal {
   reason: RefusalReason;
   status: 400 | 401 | 404 | 413 | 502 | 503 | 504;
-  /** For 503: when the caller may come back, in milliseconds. */
+  /** For 503: when the caller may retry, in milliseconds. */
   retryAfterMs?: number;
 }
 
-/** Pauses before a caller comes back to a service that is full: others end within a second, in ms. */
-const FULL_PAUSE = { leastMs: 250, spreadMs: 700 };
+/** Delay before a caller retries at a full service, in ms: other requests end within a second. */
+const FULL_RETRY_DELAY = { minMs: 250, spreadMs: 700 };
 /**
- * Pauses where a group forms anew (600 ms) or this entry has just started, in ms. Callers come back
- * once; told to come after half a second, most of them met the same refusal again.
+ * Delay while a group re-forms (which takes 600 ms) or this entry has just started, in ms. Callers retry once; with a
+ * delay of half a second most of them were refused again for the same reason.
  */
-const FORMING_PAUSE = { leastMs: 900, spreadMs: 1_300 };
-/** Pause before a caller goes to another entry, in ms: that one is well. */
-const STOPPING_PAUSE = { leastMs: 50, spreadMs: 150 };
+const FORMING_RETRY_DELAY = { minMs: 900, spreadMs: 1_300 };
+/** Delay before a caller retries at another entry, in ms; short, as that entry can serve it at once. */
+const STOPPING_RETRY_DELAY = { minMs: 50, spreadMs: 150 };
+/** Reasons that apply while a group re-forms or an entry starts. */
 const FORMING_REASONS: ReadonlySet<RefusalReason> = new Set([
   'upstreams-refusing',
   'no-upstream',
@@ -30,46 +31,46 @@
 
 const MS_PER_SECOND = 1_000;
 
-const pauseAfter = (reason: RefusalReason): { leastMs: number; spreadMs: number } => {
-  if (reason === 'stopping') return STOPPING_PAUSE;
-  return FORMING_REASONS.has(reason) ? FORMING_PAUSE : FULL_PAUSE;
+const retryDelayFor = (reason: RefusalReason): { minMs: number; spreadMs: number } => {
+  if (reason === 'stopping') return STOPPING_RETRY_DELAY;
+  return FORMING_REASONS.has(reason) ? FORMING_RETRY_DELAY : FULL_RETRY_DELAY;
 };
 
 /**
- * A refusal of a request that has not run and won't: the caller may come back, in vain within `waitMs`
- * milliseconds.
+ * Creates the refusal of a request that has not run and won't: the caller may retry. A retry within `waitMs`
+ * milliseconds would be refused again.
  */
 export const notRun = (reason: RefusalReason, random: () => number, waitMs = 0): Refusal => {
-  const { leastMs, spreadMs } = pauseAfter(reason);
-  // Spread over the interval, so that those refused together do not come back together.
-  return { reason, status: 503, retryAfterMs: Math.max(leastMs, waitMs) + random() * spreadMs };
+  const { minMs, spreadMs } = retryDelayFor(reason);
+  // Spread over the interval, so that callers that are refused together don't retry together.
+  return { reason, status: 503, retryAfterMs: Math.max(minMs, waitMs) + random() * spreadMs };
 };
 
-/** A refusal of a request that may have crashed upstreams. */
-export const keptAway = (refusal: QuarantineRefusal, random: () => number): Refusal => {
+/** Creates the refusal of a request that has crashed upstreams, or is suspected to have. */
+export const quarantineRefusal = (refusal: QuarantineRefusal, random: () => number): Refusal => {
   const { reason } = refusal;
   if (reason === 'crash-suspect') return notRun(reason, random);
   return { reason, status: 503, retryAfterMs: refusal.retryAfterMs };
 };
 
-/** A refusal of a request that may have run: nothing is promised. */
+/** Creates the refusal of a request that may have run: its status doesn't claim that it has not run. */
 export const mayHaveRun = (reason: RefusalReason): Refusal => ({
   reason,
   status: reason === 'deadline' ? 504 : 502,
 });
 
-/** What a refusal is logged with. */
+/** Fields that a refusal is logged with. */
 export interface RefusalContext {
   id: string | undefined;
   route: string | undefined;
-  /** Milliseconds from arrival to this answer. */
+  /** Milliseconds from the request's arrival to the refusal. */
   heldMs: number;
   attempts: number;
-  /** What decided, for example a load or an age. */
+  /** Values that decided, for example a load or an age. */
   inputs?: Record<string, string | number | boolean | undefined>;
 }
 
-/** Sends a refusal, counts it and logs what decided it. */
+/** Sends a refusal, counts it and logs the values that decided. */
 export const refuse = (
   res: ServerResponse,
   refusal: Refusal,
--- /dev/null
+++ b/packages/gateway/src/serving/retry-loop.ts
@@ -0,0 +1,281 @@
+/** Runs the attempts of one request: whether to retry after each of them, and how the request ends. */
+
+import { sleep } from '@plantaindrum/common';
+import type { Upstream } from '../upstreams/upstream.js';
+import { startAttempt } from './attempt.js';
+import type { Attempt, AttemptResponse } from './attempt.js';
+import { onCallerDisconnected } from './caller-disconnected.js';
+import { createRequestCompletion } from './final-answer.js';
+import type { AttemptProgress, FullResponse } from './final-answer.js';
+import { endToEnd } from './response-headers.js';
+import type { CallerRequest, RefusalReason, ServingDeps } from './types.js';
+import { waitForService } from './wait-for-service.js';
+
+/** How one attempt ended. */
+export type AttemptOutcome =
+  | FullResponse
+  /** The full stream has been forwarded. */
+  | { outcome: 'streamed' }
+  | { outcome: 'not-run'; why: string; wasSent: boolean }
+  | { outcome: 'unknown'; why: string };
+
+/** Handles the response of one attempt once its head has been received. */
+export type HandleResponse = (
+  attempt: Attempt,
+  response: AttemptResponse,
+) => Promise<AttemptOutcome>;
+
+/**
+ * Aborts the current attempt so that the request is sent to another upstream; returns false, without effect,
+ * when no further attempt is allowed or no faster upstream is available.
+ */
+export type TryMove = () => boolean;
+
+/** The retry loop of one request. */
+export interface RetryLoop {
+  /** Id of the last forwarded event; the next attempt resumes after it. */
+  resumeAfter: number | undefined;
+  /** Makes attempts until a response is sent, no further attempt is allowed, or the caller disconnects. */
+  run(handleResponse: HandleResponse): Promise<void>;
+  /** Time until the request's deadline, in milliseconds. */
+  remainingMs(): number;
+  /** Number of attempts that were sent to an upstream. */
+  sentAttempts(): number;
+}
+
+/** Options of `createRetryLoop`, by kind of request. */
+export interface RetryLoopOptions {
+  /** Whether a request that may have run can be sent again. */
+  mayRepeat: boolean;
+  /** Timeout of the next attempt, in milliseconds; undefined: only the request's deadline applies. */
+  attemptTimeoutMs: (loop: RetryLoop) => number | undefined;
+  /** Delay before a retry, in milliseconds. */
+  retryDelayMs: () => number;
+  /** Starts to watch an attempt; the returned function stops watching. */
+  watchAttempt: (attempt: Attempt, sentAt: number, tryMove: TryMove) => () => void;
+}
+
+/** Largest response that is buffered, in bytes. */
+const MAX_RESPONSE_BYTES = 8_388_608;
+/** Maximum number of a request's attempts that are known not to have run, in addition to those that ran. */
+const MAX_NOT_RUN = 3;
+
+/** Buffers a response that is not a stream. */
+export const readFullResponse: HandleResponse = async (attempt, response) => {
+  const body = await attempt.readBody(response.res, MAX_RESPONSE_BYTES);
+  if (body === undefined) return { outcome: 'unknown', why: 'answer-broke-off' };
+  const { headers } = response.res;
+  const isFramed = ['content-length', 'transfer-encoding'].some((name) => name in headers);
+  return {
+    outcome: 'whole',
+    status: response.status,
+    headers: endToEnd(response.res),
+    body,
+    isFramed,
+  };
+};
+
+const isUpstreamFault = (outcome: AttemptOutcome): boolean =>
+  outcome.outcome === 'unknown' || (outcome.outcome === 'whole' && outcome.status >= 500);
+
+/** Creates the retry loop of one request. */
+export const createRetryLoop = (
+  request: CallerRequest,
+  options: RetryLoopOptions,
+  deps: ServingDeps,
+): RetryLoop => {
+  const { route, res, service } = request;
+  const { clock, directory, budget, reopening, quarantine, metrics, log } = deps;
+  const { mayRepeat } = options;
+  const tried = new Set<string>();
+  let current: Attempt | undefined;
+  let isDisconnected = false;
+  let isExpired = false;
+  let isMoving = false;
+  let probes = 0;
+  let lastEndedAt = request.arrivedAt;
+  const progress: AttemptProgress = {
+    runs: 0,
+    notRuns: 0,
+    unsent: 0,
+    lastWhy: '',
+    failedResponse: undefined,
+  };
+  const { recordAnswered, sendResponse, endWithFailure, elapsedMs } = createRequestCompletion(
+    request,
+    progress,
+    deps,
+  );
+
+  const tryMove: TryMove = () => {
+    const isLast = progress.runs + 1 >= route.maxAttempts;
+    if (!current || !mayRepeat || isMoving || isDisconnected || isExpired || isLast) return false;
+    const next = directory.select(service, tried);
+    if (!next || directory.isStraggler(next) || !budget.take(service)) return false;
+    isMoving = true;
+    current.abort();
+    return true;
+  };
+
+  /** Records what the end of an attempt shows about the availability of the service. */
+  const updateAvailability = (hasAnswered: boolean, upstream: Upstream): void => {
+    if (hasAnswered) reopening.noteAnswer(service);
+    else if (!upstream.isRefusing()) reopening.noteNothing(service);
+    else if (reopening.isClosed(service) || directory.isRefusing(service)) {
+      reopening.noteRefusing(service);
+    }
+  };
+
+  const attemptAt = async (
+    loop: RetryLoop,
+    upstream: Upstream,
+    handleResponse: HandleResponse,
+  ): Promise<AttemptOutcome> => {
+    tried.add(upstream.record.instance);
+    const attempt = startAttempt(request, upstream, loop.resumeAfter, deps);
+    current = attempt;
+    const sentAt = clock.monotonic();
+    const timeoutMs = options.attemptTimeoutMs(loop);
+    const stopTimer =
+      timeoutMs === undefined ? () => {} : clock.after(timeoutMs, () => attempt.abort());
+    const stopWatch = options.watchAttempt(attempt, sentAt, tryMove);
+    const head = await attempt.head;
+    const outcome = head.outcome === 'answered' ? await handleResponse(attempt, head) : head;
+    stopTimer();
+    stopWatch();
+    if (outcome.outcome === 'whole' || outcome.outcome === 'streamed') attempt.run.noteWhole();
+    const isAbandoned = isDisconnected || isExpired || isMoving;
+    const hasFailed = !isAbandoned && !attempt.run.hasSurvived();
+    attempt.end();
+    // A suspect request is retried only once it is known whether it has crashed this upstream as well.
+    const exitCheck = hasFailed ? deps.checkExit(upstream.record) : undefined;
+    if (quarantine.isSuspect(request.fingerprint)) await exitCheck;
+    lastEndedAt = clock.monotonic();
+    updateAvailability(head.outcome === 'answered', upstream);
+    if (head.outcome === 'answered' && !isAbandoned) {
+      if (isUpstreamFault(outcome)) upstream.noteFailure('failed');
+      else upstream.recordSuccess();
+    }
+    log.event('attempt', {
+      id: request.id,
+      upstream: upstream.record.instance,
+      load: upstream.load(),
+      rateLimit: upstream.rate.perSecond(),
+      outcome: outcome.outcome,
+      why: 'why' in outcome ? outcome.why : undefined,
+      status: outcome.outcome === 'whole' ? outcome.status : undefined,
+      resumeAfter: loop.resumeAfter,
+      ms: elapsedMs(),
+    });
+    return outcome;
+  };
+
+  const recordOutcome = (outcome: AttemptOutcome): void => {
+    if (outcome.outcome === 'not-run') {
+      progress.notRuns += 1;
+      if (reopening.isClosed(service)) probes += 1;
+      if (!outcome.wasSent) progress.unsent += 1;
+    } else {
+      progress.runs += 1;
+    }
+    if (outcome.outcome === 'whole') progress.failedResponse = outcome;
+    if ('why' in outcome) progress.lastWhy = outcome.why;
+  };
+
+  /** Returns why no further attempt is made; undefined when a retry is allowed. */
+  const stopReason = (): RefusalReason | undefined => {
+    if (isExpired) return 'deadline';
+    if (progress.runs > 0 && !mayRepeat) return 'upstream-failed';
+    const refusal = quarantine.refusal(request.fingerprint);
+    if (refusal) return refusal.reason;
+    const sent = progress.runs + progress.notRuns - progress.unsent;
+    const isSpent = mayRepeat ? progress.runs >= route.maxAttempts : sent >= route.maxAttempts;
+    // Probes of an unavailable service are limited by the wait time and the retry budget instead.
+    if (isSpent || progress.notRuns - probes > MAX_NOT_RUN) return 'attempts-spent';
+    // The retry budget was already charged for a move when its attempt was aborted.
+    if (sent > 0 && !isMoving && !budget.take(service)) return 'retry-budget-spent';
+    return undefined;
+  };
+
+  const isFinal = (outcome: AttemptOutcome): boolean =>
+    outcome.outcome === 'streamed' ||
+    (outcome.outcome === 'whole' && (outcome.status < 500 || !mayRepeat) && !res.headersSent);
+
+  const logCallerDisconnected = (): void => {
+    const { runs, notRuns } = progress;
+    log.event('caller-gone', { id: request.id, runs, notRuns, ms: elapsedMs() });
+  };
+
+  /** Ends the request after the caller disconnected or the deadline passed between two attempts. */
+  const endBetweenAttempts = (): void => {
+    if (isExpired && !isDisconnected) endWithFailure('deadline');
+    else logCallerDisconnected();
+  };
+
+  /**
+   * Waits until the service is available. Before the first attempt the request has already waited, ahead of admission.
+   */
+  const waitUntilAvailable = async (): Promise<boolean> =>
+    progress.runs + progress.notRuns === 0 ||
+    waitForService(request, res.headersSent ? lastEndedAt : request.arrivedAt, deps);
+
+  const runAll = async (loop: RetryLoop, handleResponse: HandleResponse): Promise<void> => {
+    for (;;) {
+      const mayContinue = await waitUntilAvailable();
+      if (isDisconnected || isExpired) {
+        endBetweenAttempts();
+        return;
+      }
+      if (!mayContinue) {
+        endWithFailure('upstreams-refusing');
+        return;
+      }
+      const upstream = directory.select(service, tried);
+      if (!upstream) {
+        endWithFailure(directory.unavailableReason(service, tried));
+        return;
+      }
+      const outcome = await attemptAt(loop, upstream, handleResponse);
+      if (isDisconnected) {
+        logCallerDisconnected();
+        return;
+      }
+      if (isFinal(outcome)) {
+        if (outcome.outcome === 'whole') sendResponse(outcome);
+        else {
+          res.end();
+          recordAnswered(undefined);
+        }
+        return;
+      }
+      recordOutcome(outcome);
+      const reason = stopReason();
+      if (reason) {
+        endWithFailure(reason);
+        return;
+      }
+      metrics.count('gateway_retries', { reason: isMoving ? 'moved' : outcome.outcome });
+      await sleep(clock, isMoving ? 0 : options.retryDelayMs());
+      isMoving = false;
+    }
+  };
+
+  const loop: RetryLoop = {
+    resumeAfter: request.fields.lastEventId,
+    remainingMs: () => request.deadlineAt - clock.monotonic(),
+    sentAttempts: () => progress.runs + progress.notRuns - progress.unsent,
+    run: async (handleResponse) => {
+      onCallerDisconnected(res, () => {
+        isDisconnected = true;
+        current?.abort();
+      });
+      const stopDeadline = clock.after(loop.remainingMs(), () => {
+        isExpired = true;
+        current?.abort();
+      });
+      await runAll(loop, handleResponse);
+      stopDeadline();
+    },
+  };
+  return loop;
+};
--- a/packages/gateway/src/serving/serve-plain.ts
+++ b/packages/gateway/src/serving/serve-plain.ts
@@ -1,26 +1,26 @@
-/** A request without a stream: its answer is read whole before the caller sees any of it. */
+/** Serves a request whose response is not a stream: the response is buffered before any of it is sent to the caller. */
 
-import { createRounds, readWhole } from './rounds.js';
-import type { Rounds } from './rounds.js';
+import { createRetryLoop, readFullResponse } from './retry-loop.js';
+import type { RetryLoop } from './retry-loop.js';
 import type { CallerRequest, ServingDeps } from './types.js';
 
-/** Share of the time left after which another upstream is asked, if the request may repeat. */
-const IMPATIENT_SHARE = 0.4;
+/** Fraction of the remaining time after which a repeatable request is sent to another upstream. */
+const ATTEMPT_TIME_SHARE = 0.4;
 
-/** Serves one request; resolves when its answer has been given or its caller has gone. */
+/** Serves one request; resolves when the response has been sent or the caller has disconnected. */
 export const servePlain = (request: CallerRequest, deps: ServingDeps): Promise<void> => {
   const { route } = request;
   const mayRepeat = route.kind === 'safe';
 
-  const patience = (rounds: Rounds): number | undefined => {
-    const isLast = !mayRepeat || rounds.sent() + 1 >= route.maxAttempts;
-    return isLast ? undefined : rounds.left() * IMPATIENT_SHARE;
+  const attemptTimeoutMs = (loop: RetryLoop): number | undefined => {
+    const isLast = !mayRepeat || loop.sentAttempts() + 1 >= route.maxAttempts;
+    return isLast ? undefined : loop.remainingMs() * ATTEMPT_TIME_SHARE;
   };
 
-  const rounds = createRounds(
+  const retryLoop = createRetryLoop(
     request,
-    { mayRepeat, patience, pauseMs: () => 0, watch: () => () => {} },
+    { mayRepeat, attemptTimeoutMs, retryDelayMs: () => 0, watchAttempt: () => () => {} },
     deps,
   );
-  return rounds.run(readWhole);
+  return retryLoop.run(readFullResponse);
 };
--- a/packages/gateway/src/serving/serve-request.ts
+++ b/packages/gateway/src/serving/serve-request.ts
@@ -1,4 +1,4 @@
-/** One caller's request, from its head to the decision who serves it. */
+/** Handles a caller's request: identifies it, reads its body, decides on admission and serves it. */
 
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { RouteTable } from '../intent/route-table.js';
@@ -6,48 +6,50 @@
 import { fingerprintOf } from '../quarantine/index.js';
 import type { RequestContent } from '../quarantine/index.js';
 import type { CallerFields, Organisation, Route } from '../types.js';
-import { awaitOpen } from './await-open.js';
 import { readCallerBody } from './read-caller-body.js';
-import { keptAway, notRun, refuse } from './refuse.js';
+import { notRun, quarantineRefusal, refuse } from './refuse.js';
 import type { Refusal } from './refuse.js';
 import { servePlain } from './serve-plain.js';
 import { serveStream } from './serve-stream.js';
 import type { CallerRequest, RefusalReason, ServingDeps } from './types.js';
+import { waitForService } from './wait-for-service.js';
 
-/** What the door knows beyond single requests. */
+/** What the request handler needs from the entry. */
 export interface RequestContext extends ServingDeps {
-  table: () => RouteTable | undefined;
-  /** Resolves when there is an intent, or after this long in ms. */
-  untilIntent: (waitMs: number) => Promise<void>;
-  /** Milliseconds since this entry's intent was last confirmed. */
-  intentAge: () => number;
-  /** The entry ends soon: what it took now might be cut with it. */
+  /** Undefined until the first intent has been read. */
+  routeTable: () => RouteTable | undefined;
+  /** Resolves when there is an intent, or after this time, in ms. */
+  waitForIntent: (timeoutMs: number) => Promise<void>;
+  /** Milliseconds since this entry's intent was last confirmed to be the latest. */
+  intentAgeMs: () => number;
+  /** Whether the entry exits soon: a request accepted now might be cut off. */
   isClosing: () => boolean;
 }
 
 /**
- * Beyond this age an unknown route or key may be one that this entry has not heard of, in ms. The
- * operators' bound for a change to be in force is two seconds.
+ * Age of the intent, in ms, beyond which an unknown route or key may have been added since. Operators expect a change
+ * to be in force within two seconds.
  */
-const OUTDATED_MS = 2_000;
-/** Time that a caller has less on its second try, at least, in ms; chance makes less of a difference. */
-const RETURN_MS = 60;
+const MAX_INTENT_AGE_MS = 2_000;
+/** A retry's deadline is shorter by at least this, in ms; random differences between callers are smaller. */
+const RETURN_MARGIN_MS = 60;
 
 /**
- * An entry reads its first intent within some 30 ms of its start, one of 1,500 routes within 450; callers that reach
- * it before wait for it this long, in ms: late is better for them than to be sent away and come back.
+ * Longest wait for the first intent, in ms. An entry reads it within some 30 ms of its start, one of 1,500 routes
+ * within 450 ms: for callers that arrive before, the wait is shorter than a refusal and a retry.
  */
-const FIRST_INTENT_MS = 500;
+const FIRST_INTENT_TIMEOUT_MS = 500;
 
-interface Found {
-  table: RouteTable;
+/** Where an identified request belongs. */
+interface RequestTarget {
+  routeTable: RouteTable;
   route: Route;
   organisation: Organisation | undefined;
 }
 
-type Identified = Found | { refusal: Refusal };
+type IdentifyResult = RequestTarget | { refusal: Refusal };
 
-const own = (reason: RefusalReason, status: Refusal['status']): { refusal: Refusal } => ({
+const reject = (reason: RefusalReason, status: Refusal['status']): { refusal: Refusal } => ({
   refusal: { reason, status },
 });
 
@@ -58,76 +60,76 @@
   body,
 });
 
-/** Longest time that callers of a route have said they wait, by its name. */
-const createLongestWaits = () => {
-  const longest = new Map<string, number>();
+/** Detects retries of refused requests: their deadline is shorter than the longest one seen on the route. */
+const createReturnDetector = () => {
+  const longestByRoute = new Map<string, number>();
   return (route: Route, deadlineMs: number | undefined): boolean => {
     if (deadlineMs === undefined) return false;
-    const most = Math.max(longest.get(route.name) ?? 0, deadlineMs);
-    longest.set(route.name, most);
-    return deadlineMs < most - RETURN_MS;
+    const longestMs = Math.max(longestByRoute.get(route.name) ?? 0, deadlineMs);
+    longestByRoute.set(route.name, longestMs);
+    return deadlineMs < longestMs - RETURN_MARGIN_MS;
   };
 };
 
 /** Creates the handler of callers' requests. */
 export const createRequestHandler = (context: RequestContext) => {
   const { clock, dialect, budget, admission, directory, random, metrics, log } = context;
-  const isReturning = createLongestWaits();
+  const isReturning = createReturnDetector();
 
-  const uncertain = (reason: RefusalReason, status: 401 | 404): { refusal: Refusal } =>
-    context.intentAge() > OUTDATED_MS
+  const rejectUnknown = (reason: RefusalReason, status: 401 | 404): { refusal: Refusal } =>
+    context.intentAgeMs() > MAX_INTENT_AGE_MS
       ? { refusal: notRun('intent-outdated', random) }
-      : own(reason, status);
+      : reject(reason, status);
 
-  const identify = (req: IncomingMessage, fields: CallerFields): Identified => {
-    const table = context.table();
-    if (!table) return { refusal: notRun('no-intent', random) };
+  const identify = (req: IncomingMessage, fields: CallerFields): IdentifyResult => {
+    const routeTable = context.routeTable();
+    if (!routeTable) return { refusal: notRun('no-intent', random) };
     const path = (req.url ?? '').split('?', 1)[0] ?? '';
-    if (!path.startsWith('/') || fields.requestId === undefined) return own('bad-request', 400);
-    const route = table.route(req.headers.host ?? '', path);
-    if (!route) return uncertain('unknown-route', 404);
-    if (route.anonymous || table.intent.organisations === undefined) {
-      return { table, route, organisation: undefined };
+    if (!path.startsWith('/') || fields.requestId === undefined) return reject('bad-request', 400);
+    const route = routeTable.route(req.headers.host ?? '', path);
+    if (!route) return rejectUnknown('unknown-route', 404);
+    if (route.anonymous || routeTable.intent.organisations === undefined) {
+      return { routeTable, route, organisation: undefined };
     }
-    const organisation = table.organisation(fields.apiKey ?? '');
-    if (!organisation) return uncertain('unknown-key', 401);
-    return { table, route, organisation };
+    const organisation = routeTable.organisation(fields.apiKey ?? '');
+    if (!organisation) return rejectUnknown('unknown-key', 401);
+    return { routeTable, route, organisation };
   };
 
   const admit = (request: CallerRequest): Refusal | undefined => {
     const { route, service } = request;
     const upstreams = directory.preferred(service);
     if (upstreams.length === 0) return notRun('no-upstream', random);
-    const open = directory.open(service);
-    if (open.length === 0) {
-      return notRun(directory.obstacle(service), random, directory.waitMs(service));
+    const available = directory.available(service);
+    if (available.length === 0) {
+      return notRun(directory.unavailableReason(service), random, directory.waitMs(service));
     }
     const targetPauseMs = route.kind === 'stream' ? (route.targetPauseMs ?? Infinity) : undefined;
-    const { isReturn, table } = request;
-    const declared = table.service(service);
-    const maxConnections = declared?.maxConnections ?? Infinity;
-    const passTimes = declared?.engine?.passTimes;
-    const asked = { service, targetPauseMs, passTimes, maxConnections, isReturn };
-    const decision = admission.decide(asked, upstreams, open);
+    const { isReturn, routeTable } = request;
+    const declaredService = routeTable.service(service);
+    const maxConnections = declaredService?.maxConnections ?? Infinity;
+    const passTimes = declaredService?.engine?.passTimes;
+    const admissionRequest = { service, targetPauseMs, passTimes, maxConnections, isReturn };
+    const decision = admission.decide(admissionRequest, upstreams, available);
     return decision.admitted ? undefined : notRun(decision.reason, random);
   };
 
-  const toRequest = (
+  const createCallerRequest = (
     req: IncomingMessage,
     res: ServerResponse,
     fields: CallerFields,
-    found: Found,
+    target: RequestTarget,
     arrivedAt: number,
   ): CallerRequest => {
-    const { route } = found;
-    // A caller that names no time is given its route's.
+    const { route } = target;
+    // Without a deadline of the caller the route's timeout applies.
     const waitMs = Math.min(route.timeoutMs, fields.deadlineMs ?? route.timeoutMs);
     return {
       req,
       res,
       id: fields.requestId ?? '',
       fields,
-      ...found,
+      ...target,
       service: pickService(route, random) ?? '',
       body: new Uint8Array(),
       fingerprint: '',
@@ -140,27 +142,27 @@
   const serve = async (req: IncomingMessage, res: ServerResponse): Promise<void> => {
     const arrivedAt = clock.monotonic();
     const fields = dialect.readCaller(req.headers);
-    const turnAway = (refusal: Refusal, route?: Route, inputs = {}): void => {
+    const sendRefusal = (refusal: Refusal, route?: Route, inputs = {}): void => {
       const heldMs = Math.round(clock.monotonic() - arrivedAt);
       const id = fields.requestId;
       refuse(res, refusal, { id, route: route?.name, heldMs, attempts: 0, inputs }, context);
     };
     if (context.isClosing()) {
-      turnAway(notRun('stopping', random));
+      sendRefusal(notRun('stopping', random));
       req.resume();
       return;
     }
-    if (!context.table()) await context.untilIntent(FIRST_INTENT_MS);
-    const found = identify(req, fields);
-    if ('refusal' in found) {
-      const table = context.table();
-      const age = Math.round(context.intentAge());
-      turnAway(found.refusal, undefined, { intent: table?.intent.version, age });
+    if (!context.routeTable()) await context.waitForIntent(FIRST_INTENT_TIMEOUT_MS);
+    const identified = identify(req, fields);
+    if ('refusal' in identified) {
+      const routeTable = context.routeTable();
+      const age = Math.round(context.intentAgeMs());
+      sendRefusal(identified.refusal, undefined, { intent: routeTable?.intent.version, age });
       req.resume();
       return;
     }
-    const request = toRequest(req, res, fields, found, arrivedAt);
-    const body = await readCallerBody(req, found.table.intent.limits.bodyBytes);
+    const request = createCallerRequest(req, res, fields, identified, arrivedAt);
+    const body = await readCallerBody(req, identified.routeTable.intent.limits.bodyBytes);
     if (body.outcome === 'broken') {
       log.event('caller-gone', { id: request.id, route: request.route.name });
       res.destroy();
@@ -168,35 +170,37 @@
     }
     if (body.outcome === 'too-large') {
       res.setHeader('Connection', 'close');
-      turnAway({ reason: 'body-too-large', status: 413 }, request.route);
+      sendRefusal({ reason: 'body-too-large', status: 413 }, request.route);
       return;
     }
     budget.noteRequest(request.service);
-    const whole = {
+    const fullRequest = {
       ...request,
       body: body.body,
       fingerprint: fingerprintOf(contentOf(request, body.body)),
     };
-    const away = context.quarantine.refusal(whole.fingerprint);
-    if (away) {
-      turnAway(keptAway(away, random), request.route, { fingerprint: whole.fingerprint });
+    const quarantined = context.quarantine.refusal(fullRequest.fingerprint);
+    if (quarantined) {
+      sendRefusal(quarantineRefusal(quarantined, random), request.route, {
+        fingerprint: fullRequest.fingerprint,
+      });
       return;
     }
-    const mayGoOn = await awaitOpen(request, arrivedAt, context);
+    const mayProceed = await waitForService(request, arrivedAt, context);
     if (res.destroyed) {
       log.event('caller-gone', { id: request.id, route: request.route.name });
       return;
     }
-    const refusal = mayGoOn ? admit(request) : notRun('upstreams-refusing', random);
+    const refusal = mayProceed ? admit(request) : notRun('upstreams-refusing', random);
     if (refusal) {
       const limit = admission.limit(request.service);
       const pause = admission.pace(request.service).pause(0.75);
-      turnAway(refusal, request.route, { limit, pause, isReturn: request.isReturn });
+      sendRefusal(refusal, request.route, { limit, pause, isReturn: request.isReturn });
       return;
     }
     await (request.route.kind === 'stream'
-      ? serveStream(whole, context)
-      : servePlain(whole, context));
+      ? serveStream(fullRequest, context)
+      : servePlain(fullRequest, context));
   };
 
   return (req: IncomingMessage, res: ServerResponse): void => {
--- a/packages/gateway/src/serving/serve-stream.ts
+++ b/packages/gateway/src/serving/serve-stream.ts
@@ -1,57 +1,60 @@
-/** A stream of events: forwarded as they come, and resumed at another upstream where it may be. */
+/**
+ * Serves a stream of events: forwards them as they arrive, and resumes the stream at another upstream if it breaks off.
+ */
 
 import { createEventSplitter, isOversized } from '../streams/events.js';
 import type { StreamEvent } from '../streams/events.js';
-import type { Attempt, AttemptAnswer } from './attempt.js';
-import { beginAnswer, endToEnd } from './deliver.js';
-import { createRounds, readWhole } from './rounds.js';
-import type { MoveOn, RoundOutcome } from './rounds.js';
+import type { Attempt, AttemptResponse } from './attempt.js';
+import { endToEnd, sendHead } from './response-headers.js';
+import { createRetryLoop, readFullResponse } from './retry-loop.js';
+import type { AttemptOutcome, TryMove } from './retry-loop.js';
 import type { CallerRequest, ServingDeps } from './types.js';
 
 /**
- * A stream that has begun and is silent this long while others of its service move is taken from its upstream,
- * in ms: well above a pass of a group, well below the two seconds after which callers give up.
+ * Longest time without an event after a stream's first one, in ms, while other streams of the service have events.
+ * It is well above the time of a group's pass, and well below the two seconds after which callers give up.
  */
-const SILENT_MS = 900;
-/** Others move if one of them had an event within this time, in ms. */
-const OTHERS_MOVE_MS = 250;
-const WATCH_MS = 150;
-/** Pause before a stream in its middle goes on elsewhere: its group may be forming anew, in ms. */
-const RESUME_PAUSE_MS = 60;
-/** Bytes that may wait for a slow caller before the stream is broken off: a bound on memory. */
-const MAX_WAITING_BYTES = 1_048_576;
+const EVENT_TIMEOUT_MS = 900;
+/** Other streams of the service count as active if one of them had an event within this time, in ms. */
+const OTHERS_ACTIVE_MS = 250;
+/** How often a stream is checked for a stall, in ms. */
+const WATCH_INTERVAL_MS = 150;
+/** Delay before a stream is resumed at another upstream, in ms: the group of its upstream may be re-forming. */
+const RESUME_DELAY_MS = 60;
+/** Bytes that are buffered for a slow caller before its stream is aborted; bounds the memory. */
+const MAX_BUFFERED_BYTES = 1_048_576;
 
-const isStreamAnswer = ({ status, res }: AttemptAnswer): boolean =>
+const isStreamResponse = ({ status, res }: AttemptResponse): boolean =>
   status === 200 && (res.headers['content-type'] ?? '').startsWith('text/event-stream');
 
-/** Serves one stream; resolves when it has ended in any way. */
+/** Serves one stream; resolves when it has ended, completely or not. */
 export const serveStream = (request: CallerRequest, deps: ServingDeps): Promise<void> => {
   const { route, res, service } = request;
   const { clock, metrics, log, admission, directory } = deps;
   const pace = admission.pace(service);
   let lastEventAt: number | undefined;
-  /** When the running attempt was sent; undefined once it has brought an event. */
-  let awaitedSince: number | undefined;
+  /** When the current attempt was sent (monotonic, ms); undefined once it has had an event. */
+  let firstEventAwaitedSince: number | undefined;
 
-  /** Goes on elsewhere when the upstream holds up all streams of its service, this one included. */
-  const leaveIfHoldingUp = ({ upstream }: Attempt, moveOn: MoveOn): boolean => {
-    if (!directory.isHoldingUp(upstream) || !moveOn()) return false;
+  /** Moves the stream to another upstream if its upstream is a straggler, which delays all streams of the service. */
+  const moveIfStraggler = ({ upstream }: Attempt, tryMove: TryMove): boolean => {
+    if (!directory.isStraggler(upstream) || !tryMove()) return false;
     metrics.count('gateway_streams_moved');
     const { instance } = upstream.record;
-    log.event('stream-moved', { id: request.id, upstream: instance, pace: upstream.pace() });
+    log.event('stream-moved', { id: request.id, upstream: instance, pace: upstream.slowdown() });
     return true;
   };
 
-  /** Ends an attempt whose upstream is silent while the others of its service are not. */
-  const watch = (attempt: Attempt, sentAt: number, moveOn: MoveOn): (() => void) => {
+  /** Aborts an attempt whose upstream sends nothing while other streams of the service have events. */
+  const watchAttempt = (attempt: Attempt, sentAt: number, tryMove: TryMove): (() => void) => {
     let stopTimer = (): void => {};
-    awaitedSince = sentAt;
-    const look = (): void => {
+    firstEventAwaitedSince = sentAt;
+    const check = (): void => {
       const quiet = clock.monotonic() - Math.max(sentAt, lastEventAt ?? sentAt);
-      if (leaveIfHoldingUp(attempt, moveOn)) return;
-      const isAwaited = awaitedSince !== undefined;
-      const limitMs = isAwaited ? pace.firstLimit() : SILENT_MS;
-      if (quiet > limitMs && pace.silence() < OTHERS_MOVE_MS && route.resumable) {
+      if (moveIfStraggler(attempt, tryMove)) return;
+      const isAwaited = firstEventAwaitedSince !== undefined;
+      const limitMs = isAwaited ? pace.firstLimit() : EVENT_TIMEOUT_MS;
+      if (quiet > limitMs && pace.silence() < OTHERS_ACTIVE_MS && route.resumable) {
         const inputs = { quiet, limitMs, isAwaited, othersMs: pace.silence() };
         log.event('upstream-silent', { id: request.id, ...inputs });
         if (isAwaited) pace.noteNone(quiet);
@@ -59,11 +62,11 @@
         attempt.abort();
         return;
       }
-      stopTimer = clock.after(WATCH_MS, look);
+      stopTimer = clock.after(WATCH_INTERVAL_MS, check);
     };
-    stopTimer = clock.after(WATCH_MS, look);
-    const stopListening = directory.onPaceChange(() => {
-      leaveIfHoldingUp(attempt, moveOn);
+    stopTimer = clock.after(WATCH_INTERVAL_MS, check);
+    const stopListening = directory.onSlowdownChange(() => {
+      moveIfStraggler(attempt, tryMove);
     });
     return () => {
       stopTimer();
@@ -71,21 +74,21 @@
     };
   };
 
-  const rounds = createRounds(
+  const loop = createRetryLoop(
     request,
     {
       mayRepeat: route.resumable,
-      patience: () => undefined,
-      pauseMs: () => (lastEventAt === undefined ? 0 : RESUME_PAUSE_MS),
-      watch,
+      attemptTimeoutMs: () => undefined,
+      retryDelayMs: () => (lastEventAt === undefined ? 0 : RESUME_DELAY_MS),
+      watchAttempt,
     },
     deps,
   );
 
-  const noteTime = (): void => {
+  const recordEventTime = (): void => {
     const now = clock.monotonic();
-    if (awaitedSince !== undefined) pace.noteFirst(now - awaitedSince);
-    awaitedSince = undefined;
+    if (firstEventAwaitedSince !== undefined) pace.noteFirst(now - firstEventAwaitedSince);
+    firstEventAwaitedSince = undefined;
     if (lastEventAt === undefined) {
       metrics.record('gateway_first_event_ms', now - request.arrivedAt);
     } else {
@@ -95,41 +98,44 @@
     lastEventAt = now;
   };
 
-  /** Passes one event on; false when it doesn't follow the last one. */
-  const forward = (event: StreamEvent, attempt: Attempt, answer: AttemptAnswer): boolean => {
-    const last = rounds.resumeAfter;
-    if (event.id !== undefined && last !== undefined) {
-      if (event.id <= last) {
+  /** Forwards one event; false when events are missing between the last one and this one. */
+  const forward = (event: StreamEvent, attempt: Attempt, response: AttemptResponse): boolean => {
+    const lastEventId = loop.resumeAfter;
+    if (event.id !== undefined && lastEventId !== undefined) {
+      if (event.id <= lastEventId) {
         metrics.count('gateway_events_repeated');
         return true;
       }
-      // Pieces of two runs with a hole between them must not look like one stream.
-      if (event.id > last + 1) return false;
+      // Parts of two runs with a gap between them must not look like one stream.
+      if (event.id > lastEventId + 1) return false;
     }
-    noteTime();
-    attempt.watched.noteEvent();
-    if (event.id !== undefined) rounds.resumeAfter = event.id;
-    // Until the first event nothing has been promised, and a failure can still be told as one.
-    if (!res.headersSent) beginAnswer(res, answer.status, endToEnd(answer.res), deps.isStopping());
+    recordEventTime();
+    attempt.run.noteEvent();
+    if (event.id !== undefined) loop.resumeAfter = event.id;
+    // The head is sent with the first event only: until then a failure can be answered with an error status.
+    if (!res.headersSent) sendHead(res, response.status, endToEnd(response.res), deps.isStopping());
     res.write(event.bytes);
     return true;
   };
 
-  /** Passes a stream's events on; the fault that ended it, or undefined when it is whole. */
-  const pipe = async (attempt: Attempt, answer: AttemptAnswer): Promise<string | undefined> => {
+  /** Forwards a stream's events; resolves to the fault that ended it, or undefined when it is complete. */
+  const forwardEvents = async (
+    attempt: Attempt,
+    response: AttemptResponse,
+  ): Promise<string | undefined> => {
     const splitter = createEventSplitter();
-    const ended = attempt.bodyEnd(answer.res);
+    const ended = attempt.bodyEnd(response.res);
     let fault: string | undefined;
-    const breakOff = (why: string): void => {
+    const abortStream = (why: string): void => {
       fault ??= why;
-      answer.res.destroy();
+      response.res.destroy();
     };
-    answer.res.on('data', (chunk: Buffer) => {
+    response.res.on('data', (chunk: Buffer) => {
       if (fault !== undefined) return;
-      const isSound = splitter.push(chunk).every((event) => forward(event, attempt, answer));
-      if (!isSound) breakOff('event-missing');
-      else if (isOversized(splitter)) breakOff('event-too-large');
-      else if (res.writableLength > MAX_WAITING_BYTES) breakOff('caller-slow');
+      const isInOrder = splitter.push(chunk).every((event) => forward(event, attempt, response));
+      if (!isInOrder) abortStream('event-missing');
+      else if (isOversized(splitter)) abortStream('event-too-large');
+      else if (res.writableLength > MAX_BUFFERED_BYTES) abortStream('caller-slow');
     });
     const end = await ended;
     if (fault !== undefined) return fault;
@@ -137,12 +143,12 @@
     return splitter.pending() > 0 ? 'event-cut' : undefined;
   };
 
-  return rounds.run(async (attempt, answer): Promise<RoundOutcome> => {
-    if (!isStreamAnswer(answer)) return readWhole(attempt, answer);
-    const fault = await pipe(attempt, answer);
+  return loop.run(async (attempt, response): Promise<AttemptOutcome> => {
+    if (!isStreamResponse(response)) return readFullResponse(attempt, response);
+    const fault = await forwardEvents(attempt, response);
     if (fault !== undefined) return { outcome: 'unknown', why: fault };
-    // A stream resumed after its last event has none left, and its head has not been passed on yet.
-    if (!res.headersSent) beginAnswer(res, answer.status, endToEnd(answer.res), deps.isStopping());
+    // A stream that is resumed after its last event has no event left, so its head has not been forwarded yet.
+    if (!res.headersSent) sendHead(res, response.status, endToEnd(response.res), deps.isStopping());
     return { outcome: 'streamed' };
   });
 };
--- a/packages/gateway/src/serving/types.ts
+++ b/packages/gateway/src/serving/types.ts
@@ -9,7 +9,7 @@
 import type { Directory } from '../upstreams/directory.js';
 import type { RateLimits } from '../upstreams/rate-limits.js';
 
-/** What serving a request needs from its entry. */
+/** What serving a request needs from the entry. */
 export interface ServingDeps {
   dialect: HeaderDialect;
   directory: Directory;
@@ -18,39 +18,39 @@
   rateLimits: RateLimits;
   reopening: Reopening;
   quarantine: RequestQuarantine;
-  /** An attempt at this upstream was lost: finds out whether its process has ended. */
-  checkEnd: (upstream: UpstreamRecord) => Promise<void>;
-  /** Entries that may be at work, this one counted. */
+  /** Checks whether the upstream's process has exited, after an attempt there failed without a response. */
+  checkExit: (upstream: UpstreamRecord) => Promise<void>;
+  /** Number of entries that may be running, including this one. */
   entries: () => number;
   clock: Clock;
   random: Random;
   metrics: Metrics;
   log: EventLog;
-  /** The entry is stopping: answers tell callers to come back on another connection. */
+  /** Whether the entry is stopping: responses then close the caller's connection. */
   isStopping: () => boolean;
 }
 
-/** A request that has been read whole and may be served. */
+/** A caller's request with what is needed to serve it. */
 export interface CallerRequest {
   req: IncomingMessage;
   res: ServerResponse;
   id: string;
   fields: CallerFields;
   route: Route;
-  table: RouteTable;
+  routeTable: RouteTable;
   service: string;
   organisation: Organisation | undefined;
   body: Uint8Array;
-  /** Tells the same work from other work; see `fingerprintOf`. */
+  /** Identifies the work that is requested; see `fingerprintOf`. */
   fingerprint: string;
-  /** When it arrived, and when its answer is due at the latest (monotonic, ms). */
+  /** When it arrived, and when its response is due at the latest (monotonic, ms). */
   arrivedAt: number;
   deadlineAt: number;
-  /** The caller has been refused before; told by the shorter time that it has left. */
+  /** Whether this is a retry of a refused request, as its shorter deadline suggests. */
   isReturn: boolean;
 }
 
-/** Why a request that could not be served got its answer. */
+/** Why a request was refused. */
 export type RefusalReason =
   | 'stopping'
   | 'no-intent'
@@ -61,14 +61,14 @@
   | 'body-too-large'
   | 'no-upstream'
   | 'upstreams-full'
-  /** All of them advertise rate limits, which are used up. */
+  /** All upstreams advertise rate limits, and these are used up. */
   | 'upstreams-rate-limited'
   | 'pace-too-slow'
   | 'upstreams-refusing'
   | 'attempts-spent'
-  /** It has crashed upstreams that ran it. */
+  /** The request has crashed upstreams that ran it. */
   | 'quarantined'
-  /** It may have, and is being tried at one. */
+  /** The request may have crashed upstreams, and is under trial at one. */
   | 'crash-suspect'
   | 'retry-budget-spent'
   | 'deadline'
--- a/packages/gateway/src/streams/events.ts
+++ b/packages/gateway/src/streams/events.ts
@@ -1,21 +1,22 @@
-/** Splits a stream of events (text/event-stream) into whole events and reads their ids. */
+/** Splits an event stream (text/event-stream) into complete events and reads their ids. */
 
 import { createEventCutter } from '@plantaindrum/common';
 
-/** One whole event as the upstream sent it, with the blank line that ends it. */
+/** One complete event as the upstream sent it, including the blank line that ends it. */
 export interface StreamEvent {
   id: number | undefined;
   bytes: Buffer;
 }
 
-/** Cuts bytes into events. */
+/** Splits the bytes of a stream into events. */
 export interface EventSplitter {
+  /** Returns the events that are complete with this chunk. */
   push(chunk: Buffer): StreamEvent[];
-  /** Bytes of an event that has not ended. */
+  /** Number of bytes of an incomplete event. */
   pending(): number;
 }
 
-/** Largest event that is taken, in bytes; some thousand times a usual one. */
+/** Largest event that is accepted, in bytes; about a thousand times the typical size. */
 const MAX_EVENT_BYTES = 1_048_576;
 
 const ID_LINE = /^id:[ ]?(\d{1,15})\r?$/m;
@@ -34,6 +35,6 @@
   };
 };
 
-/** Whether an unfinished event has grown beyond what any upstream sends. */
+/** Whether an incomplete event is larger than `MAX_EVENT_BYTES`. */
 export const isOversized = (splitter: EventSplitter): boolean =>
   splitter.pending() > MAX_EVENT_BYTES;
--- a/packages/gateway/src/types.ts
+++ b/packages/gateway/src/types.ts
@@ -1,14 +1,14 @@
-/** What the gateway knows: the operators' intent, upstreams, and a caller's request. */
+/** Types of the operators' intent, of upstreams, and of the header fields of requests and responses. */
 
 import type { PassTimes } from './admission/pass-model.js';
 
-/** What may be repeated: `unsafe` runs at most once, `stream` as its route's `resumable` says. */
+/** Whether requests may be repeated: `safe` may, `unsafe` may not, `stream` only if its route is `resumable`. */
 export type RouteKind = 'safe' | 'unsafe' | 'stream';
 
-/** A service with its share of a route's requests. */
+/** A service with its weight among the services of a route. */
 export interface ServiceShare {
   service: string;
-  /** Relative to the other shares of the route. */
+  /** Relative to the weights of the route's other services. */
   weight: number;
 }
 
@@ -19,49 +19,50 @@
   /** Begins and ends with a slash. */
   pathPrefix: string;
   kind: RouteKind;
-  /** A broken stream may go on at another upstream. */
+  /** Whether a stream that breaks off may be resumed at another upstream. */
   resumable: boolean;
-  /** Longest time that a caller is kept waiting, in milliseconds. */
+  /** Timeout of a request, in milliseconds. */
   timeoutMs: number;
-  /** Time to the answer, or to a stream's first event, that operators aim for, in milliseconds. */
+  /** Target time to the response, or to a stream's first event, in milliseconds. */
   targetMs: number;
-  /** Longest pause between two events of a stream that is on time, in milliseconds. */
+  /** Target for the longest pause between two events of a stream, in milliseconds. */
   targetPauseMs: number | undefined;
-  /** Rank among routes, 0 first. */
+  /** Priority among routes, 0 first. */
   priority: number;
-  /** Most upstreams that one request may be sent to. */
+  /** Maximum number of upstreams that one request may be sent to. */
   maxAttempts: number;
-  /** Serves callers without an API key. */
+  /** Whether callers without an API key are served. */
   anonymous: boolean;
   services: readonly ServiceShare[];
 }
 
-/** Expert placement of the model engines of a service. */
+/** Number and size of the experts of a service's model engines, and their capacity for replicas. */
 export interface EngineShape {
   /** Sets of layers that share one placement of experts; 0 for an engine without experts. */
   sets: number;
   /** Experts in each set. */
   experts: number;
-  /** Experts that one rank holds in each set, at most. */
+  /** Maximum number of experts that one rank holds in each set. */
   places: number;
-  /** Experts that one change of map may bring new to a rank, in each set. */
+  /** Maximum number of experts that one change of the map may add to a rank, in each set. */
   spare: number;
-  /** Size of one expert, in MB, and the rate at which a rank copies experts, in Mbit/s. */
+  /** Size of one expert, in MB. */
   expertMb: number;
+  /** Rate at which a rank copies experts, in Mbit/s. */
   copyMbps: number;
-  /** Time of a step without a stream and for each stream, in ms; undefined where it isn't stated. */
+  /** Time of a pass without streams, and added by each stream, in ms; undefined if not declared. */
   passTimes: PassTimes | undefined;
 }
 
 /** A service that routes lead to. */
 export interface Service {
   name: string;
-  /** Most connections that one upstream accepts from all callers together. */
+  /** Maximum number of connections that one upstream accepts from all entries together. */
   maxConnections: number;
   engine: EngineShape | undefined;
 }
 
-/** What a caller may send, and how long it may take. */
+/** Limits on what a caller may send, and how long it may take. */
 export interface CallerLimits {
   headerBytes: number;
   bodyBytes: number;
@@ -69,17 +70,17 @@
   idleTimeoutMs: number;
 }
 
-/** An organisation and the API keys that stand for it. */
+/** An organisation and its API keys. */
 export interface Organisation {
   name: string;
   apiKeys: readonly string[];
-  /** Goes before the route's rank where it is given. */
+  /** Overrides the route's priority if it is set. */
   priority: number | undefined;
 }
 
-/** The operators' intent as a whole. */
+/** The operators' complete intent. */
 export interface Intent {
-  /** Grows with each change. */
+  /** Increases with each change. */
   version: number;
   routes: readonly Route[];
   services: readonly Service[];
@@ -89,16 +90,16 @@
 }
 
 /**
- * One start of an upstream. It may start again under its instance, and then holds and knows nothing
- * of before: what is known of an earlier start says nothing about it.
+ * Identifies one start of an upstream's process. An upstream may start again under the same instance; it then has no
+ * state from before, so nothing that is known of an earlier start applies to it.
  */
 export interface UpstreamStart {
   instance: string;
-  /** Unix time of the start, in milliseconds; 0 where the platform doesn't tell. */
+  /** Unix time of the start, in milliseconds; 0 if the platform doesn't state it. */
   startedAt: number;
 }
 
-/** What an upstream says of itself in the platform's list. */
+/** An upstream's entry in the platform's list, which the upstream writes itself. */
 export interface UpstreamRecord extends UpstreamStart {
   service: string;
   host: string;
@@ -106,45 +107,45 @@
   dataCentre: string;
   slots: number;
   state: 'ready' | 'draining';
-  /** How much longer it is slow after its start, in milliseconds. */
+  /** Remaining time of its warm-up, in which it is slow, in milliseconds. */
   warmupLeftMs: number;
-  /** Grows with each heartbeat of the upstream; a smaller one is an old heartbeat that came late. */
+  /** Increases with each heartbeat of the upstream; a smaller one is an old heartbeat that arrived late. */
   sequence: number;
 }
 
-/** What makes an entry of the platform's list name no upstream: its bytes, or one unsound field. */
+/** Why an entry of the platform's list is invalid: its bytes, or one invalid field. */
 export type UpstreamFault = keyof UpstreamRecord | 'bytes' | 'software';
 
-/** What a caller asks for, apart from method, path and body. */
+/** What a caller's header fields say. */
 export interface CallerFields {
-  /** The caller's id of this request; undefined when it sent none. */
+  /** The caller's id of this request; undefined if it sent none. */
   requestId: string | undefined;
-  /** How long the caller waits, in milliseconds; undefined when it doesn't say. */
+  /** How long the caller waits, in milliseconds; undefined if it doesn't say. */
   deadlineMs: number | undefined;
   apiKey: string | undefined;
   /** Resume after this event. */
   lastEventId: number | undefined;
 }
 
-/** What an upstream's answer says apart from its body. */
+/** What the header fields of an upstream's response say. */
 export interface AnswerFields {
   requestId: string | undefined;
   /** The upstream states that it did not run the request and won't. */
   notRun: boolean;
-  /** Bears the upstream's receipt. */
+  /** Whether it has the upstream's receipt, which proves that the upstream ran the request. */
   hasReceipt: boolean;
-  /** Requests running and waiting at the upstream; undefined when it doesn't tell. */
+  /** Requests that are running and waiting at the upstream; undefined if it doesn't say. */
   load: { running: number; waiting: number } | undefined;
-  /** Most requests a second that the upstream takes from all entries together; undefined when it advertises none. */
+  /** Requests a second that the upstream accepts from all entries together; undefined if it advertises no limit. */
   rateLimit: number | undefined;
 }
 
-/** Names and values of a header's fields, flat, as they came. */
+/** Names and values of header fields in turn, as they were received. */
 export type RawHeaders = readonly string[];
 
-/** What the gateway sets in each attempt. */
+/** What the gateway's header fields of an attempt say. */
 export interface AttemptFields {
-  /** Time that is left, in milliseconds. */
+  /** Time until the request's deadline, in milliseconds. */
   deadlineMs: number;
   /** The upstream must refuse the attempt unless it is this instance. */
   instance: string;
@@ -155,10 +156,10 @@
   lastEventId: number | undefined;
 }
 
-/** Translates headers between the gateway and what callers and upstreams speak. */
+/** Translates between the gateway's fields and the headers that callers and upstreams use. */
 export interface HeaderDialect {
   readCaller(headers: NodeJS.Dict<string | string[]>): CallerFields;
-  /** The caller's headers with those of the connection and of the gateway replaced. */
+  /** The caller's headers, with those of the connection and of the gateway replaced. */
   writeAttempt(headers: RawHeaders, fields: AttemptFields, bodyBytes: number): string[];
   readAnswer(headers: NodeJS.Dict<string | string[]>): AnswerFields;
 }
--- a/packages/gateway/src/upstreams/arrivals.ts
+++ b/packages/gateway/src/upstreams/arrivals.ts
@@ -1,34 +1,34 @@
-/** How many requests the other entries send to a service, as their shares of load show it. */
+/** Estimates how many requests the other entries send to a service, from their load updates. */
 
 import type { Clock } from '@plantaindrum/common';
 
-/** Requests of the other entries, by service. */
-export interface Arrivals {
-  /** This many more requests of another entry are at the service's upstreams. */
-  note(service: string, more: number): void;
-  /** Requests that others have sent and this entry has not heard of yet. */
-  unheard(service: string): number;
+/** Requests that the other entries send, by service. */
+export interface PeerArrivals {
+  /** Records that another entry has this many more requests at the service's upstreams. */
+  record(service: string, increase: number): void;
+  /** Estimated number of requests that others have sent and not reported yet. */
+  unreported(service: string): number;
 }
 
-/** Time over which arrivals are averaged, in ms: a burst shows within a second. */
-const MEMORY_MS = 1_000;
-/** Age of what is known of the others, in ms: they tell it every 60, and links take some more. */
-const AGE_MS = 60;
+/** Time over which arrivals are averaged, in ms: a burst becomes visible within a second. */
+const AVERAGING_WINDOW_MS = 1_000;
+/** Age of the load that is known of the others, in ms: they report it every 60 ms, and links add a little. */
+const REPORT_AGE_MS = 60;
 
-/** Creates the record. */
-export const createArrivals = (clock: Clock): Arrivals => {
+/** Creates an estimate without any arrivals. */
+export const createPeerArrivals = (clock: Clock): PeerArrivals => {
   const recent = new Map<string, { count: number; at: number }>();
 
   const countOf = (service: string): number => {
-    const known = recent.get(service);
-    return known ? known.count * Math.exp((known.at - clock.monotonic()) / MEMORY_MS) : 0;
+    const last = recent.get(service);
+    return last ? last.count * Math.exp((last.at - clock.monotonic()) / AVERAGING_WINDOW_MS) : 0;
   };
 
   return {
-    note: (service, more) => {
-      if (more <= 0) return;
-      recent.set(service, { count: countOf(service) + more, at: clock.monotonic() });
+    record: (service, increase) => {
+      if (increase <= 0) return;
+      recent.set(service, { count: countOf(service) + increase, at: clock.monotonic() });
     },
-    unheard: (service) => (countOf(service) * AGE_MS) / MEMORY_MS,
+    unreported: (service) => (countOf(service) * REPORT_AGE_MS) / AVERAGING_WINDOW_MS,
   };
 };
--- a/packages/gateway/src/upstreams/choice.ts
+++ b/packages/gateway/src/upstreams/choice.ts
@@ -1,60 +1,74 @@
 /**
- * Which of the upstreams that look least loaded gets the next request.
+ * Selects the upstream of the next request among the least loaded ones.
  *
- * The pattern: entries hear of each other's requests a moment late. While each sends to the one upstream
- * that looks emptiest, so do the others, and they meet there: of 328 requests a second from 36 entries to
- * 192 upstreams of 4 places, 52 found no place although a quarter of all places was free; of 183 from 16
- * entries to 63 upstreams of 7 places, 18. So the choice reckons with what the others send before it can be
- * heard of: it is made, by free places, among as many upstreams as have places for a few times that many.
- * Then 5 and 2 a second found none; with five entries it is the emptiest as before, or one of the next.
+ * Entries learn of each other's requests with a delay. If each entry sent to the upstream that looks least loaded, many
+ * would select the same one: of 328 requests a second from 36 entries to 192 upstreams with 4 slots each, 52 found no
+ * free slot although a quarter of all slots were free; of 183 from 16 entries to 63 upstreams with 7 slots each, 18.
+ * The selection therefore takes into account what the others are expected to send in the meantime: it is random,
+ * weighted by free slots, among the least loaded upstreams that together have slots for a few times that many requests.
+ * With it 5 and 2 requests a second found no free slot. With five entries it selects the least loaded upstream or
+ * one of the next.
  */
 
 import type { Random } from '@plantaindrum/common';
 
-/** One upstream as the choice needs it. */
-export interface Offer {
-  /** Load that the request would bring it, in slots over slots, and what else speaks against it. */
+/** An upstream that may be selected. */
+export interface Candidate {
+  /** Load score: its load with this request, as a fraction of its slots, plus penalties; see `loadScoreOf`. */
   cost: number;
-  /** Places that are free there, as far as is known. */
+  /** Slots that are free there, as far as is known; below 0 when requests are waiting. */
   free: number;
 }
 
 /**
- * Free places that the choice is spread over, in times of the requests that others send meanwhile. With
- * once as many a third of the requests that met still did; beyond four times nothing is gained.
+ * Free slots that the selection is spread over, as a multiple of the requests that others send in the meantime. With 1
+ * a third of the collisions remained; beyond 4 nothing is gained.
  */
-const SPREAD = 3;
-/** An upstream that costs this much more than the best is not chosen however many places it has. */
-const MOST_APART = 0.5;
-/** Weight of an upstream without a free place that costs as little as the best, in places. */
-const LEAST_WEIGHT = 0.25;
-const SAME = 1e-9;
+const SPREAD_FACTOR = 3;
+/**
+ * An upstream whose score exceeds the best one by more than this is not selected, however many slots are free there.
+ */
+const MAX_SCORE_DIFFERENCE = 0.5;
+/** Weight, in slots, of an upstream without a free slot whose score equals the best one. */
+const MIN_WEIGHT = 0.25;
+/** Scores that differ by less than this are equal. */
+const SCORE_TOLERANCE = 1e-9;
 
-/** Picks one of the offers by its index, -1 where there is none; `meanwhile` requests come from others. */
-export const pickOffer = (offers: readonly Offer[], meanwhile: number, random: Random): number => {
-  let least = Infinity;
-  for (const { cost } of offers) least = Math.min(least, cost);
-  const order: { cost: number; at: number }[] = [];
-  offers.forEach(({ cost }, at) => {
-    if (cost <= least + MOST_APART) order.push({ cost, at });
+/**
+ * Returns the index of the selected candidate, -1 where there is none. `concurrentArrivals` is the number of requests
+ * that other entries are expected to send in the meantime.
+ */
+export const pickOffer = (
+  candidates: readonly Candidate[],
+  concurrentArrivals: number,
+  random: Random,
+): number => {
+  let minScore = Infinity;
+  for (const { cost } of candidates) minScore = Math.min(minScore, cost);
+  const byScore: { cost: number; index: number }[] = [];
+  candidates.forEach(({ cost }, index) => {
+    if (cost <= minScore + MAX_SCORE_DIFFERENCE) byScore.push({ cost, index });
   });
-  order.sort((a, b) => a.cost - b.cost);
-  const [best] = order;
+  byScore.sort((a, b) => a.cost - b.cost);
+  const [best] = byScore;
   if (!best) return -1;
-  const picked: { at: number; weight: number }[] = [];
-  let places = 0;
-  for (const { cost, at } of order) {
-    const free = offers[at]?.free ?? 0;
-    const isBest = cost <= best.cost + SAME;
-    const isWanted = places < SPREAD * meanwhile && free > 0 && cost <= best.cost + MOST_APART;
-    if (!isBest && !isWanted) break;
-    places += free;
-    picked.push({ at, weight: Math.max(free, LEAST_WEIGHT) });
+  const selected: { index: number; weight: number }[] = [];
+  let freeTotal = 0;
+  for (const { cost, index } of byScore) {
+    const free = candidates[index]?.free ?? 0;
+    const isBest = cost <= best.cost + SCORE_TOLERANCE;
+    const isNeeded =
+      freeTotal < SPREAD_FACTOR * concurrentArrivals &&
+      free > 0 &&
+      cost <= best.cost + MAX_SCORE_DIFFERENCE;
+    if (!isBest && !isNeeded) break;
+    freeTotal += free;
+    selected.push({ index, weight: Math.max(free, MIN_WEIGHT) });
   }
-  let rest = random() * picked.reduce((sum, { weight }) => sum + weight, 0);
-  const chosen = picked.find(({ weight }) => {
-    rest -= weight;
-    return rest < 0;
+  let remaining = random() * selected.reduce((sum, { weight }) => sum + weight, 0);
+  const chosen = selected.find(({ weight }) => {
+    remaining -= weight;
+    return remaining < 0;
   });
-  return (chosen ?? picked.at(-1) ?? best).at;
+  return (chosen ?? selected.at(-1) ?? best).index;
 };
--- a/packages/gateway/src/upstreams/cost.ts
+++ b/packages/gateway/src/upstreams/cost.ts
@@ -1,18 +1,18 @@
-/** What speaks against sending the next request to an upstream, in slots over slots. */
+/** Load scores: the upstream with the lowest score gets the next request first. */
 
 import type { Upstream } from './upstream.js';
 
-/** Load that an upstream in another data centre must be below one nearby to be chosen: about one request. */
-const ELSEWHERE_COST = 0.13;
-/** Load that a failing upstream seems to have more, at a failure share of 1. */
-const FAILURE_COST = 4;
-/** Load that an upstream seems to have more while it warms up. */
-const WARMUP_COST = 0.5;
+/** Penalty for an upstream in another data centre, as a fraction of its slots: about one request. */
+const REMOTE_PENALTY = 0.13;
+/** Penalty for an upstream whose failure rate is 1. */
+const FAILURE_PENALTY = 4;
+/** Penalty for an upstream that is warming up. */
+const WARMUP_PENALTY = 0.5;
 
-/** Load that one more request would bring, and more for distance, warming up and failures. */
-export const costOf = (upstream: Upstream, dataCentre: string): number => {
+/** Load that an upstream would have with one more request, plus penalties for distance, warm-up and failures. */
+export const loadScoreOf = (upstream: Upstream, dataCentre: string): number => {
   const { record } = upstream;
-  const away = record.dataCentre === dataCentre ? 0 : ELSEWHERE_COST;
-  const warming = record.warmupLeftMs > 0 ? WARMUP_COST : 0;
-  return upstream.costOfNext() + away + warming + upstream.failureShare() * FAILURE_COST;
+  const remote = record.dataCentre === dataCentre ? 0 : REMOTE_PENALTY;
+  const warming = record.warmupLeftMs > 0 ? WARMUP_PENALTY : 0;
+  return upstream.costOfNext() + remote + warming + upstream.failureRate() * FAILURE_PENALTY;
 };
--- a/packages/gateway/src/upstreams/directory.ts
+++ b/packages/gateway/src/upstreams/directory.ts
@@ -1,57 +1,58 @@
-/** All upstreams that are listed, and the choice among those of a service. */
+/** Directory of the upstreams in the platform's list, with the selection of upstreams by service. */
 
 import type { Clock, EventLog, Metrics, Random, Result } from '@plantaindrum/common';
 import type { KeyedChange } from '@plantaindrum/mirror';
 import type { EnginePace } from '../mesh/engine-pace.js';
 import type { LoadShare } from '../mesh/load-share.js';
 import type { UpstreamFault, UpstreamRecord } from '../types.js';
-import { createArrivals } from './arrivals.js';
+import { createPeerArrivals } from './arrivals.js';
 import { pickOffer } from './choice.js';
-import { costOf } from './cost.js';
-import { createForeignEntries } from './foreign-entries.js';
+import { loadScoreOf } from './cost.js';
+import { createInvalidEntryRecorder } from './invalid-entries.js';
 import { createKnownStarts } from './known-starts.js';
 import { withoutSlow } from './slow-upstreams.js';
 import { createUpstream } from './upstream.js';
 import type { Upstream } from './upstream.js';
 
-/** Why no upstream may be sent a request. */
-export type Obstacle = 'no-upstream' | 'upstreams-full' | 'upstreams-rate-limited';
+/** Why no upstream can be sent a request. */
+export type UnavailableReason = 'no-upstream' | 'upstreams-full' | 'upstreams-rate-limited';
 
 /** Upstreams by service. */
 export interface Directory {
-  /** Takes a change of the platform's list. */
+  /** Applies a change of the platform's list. */
   apply(change: KeyedChange): void;
-  /** Upstreams of a service that may take new work. */
+  /** Upstreams of a service that accept new requests. */
   usable(service: string): Upstream[];
-  /** Those that new work goes to: the usable ones less those that would hold the others up. */
+  /** The usable upstreams without stragglers. */
   preferred(service: string): Upstream[];
-  /** Whether an upstream holds up the others of its service, which can do without it. */
-  isHoldingUp(upstream: Upstream): boolean;
-  /** Told of each change in who holds up others; the result ends that. */
-  onPaceChange(listener: () => void): () => void;
+  /** Whether an upstream is so slow that its service has a higher throughput without it. */
+  isStraggler(upstream: Upstream): boolean;
+  /** Calls the listener after each change of an upstream's slowdown; the returned function removes it. */
+  onSlowdownChange(listener: () => void): () => void;
   /**
-   * Of the preferred upstreams, or else of the usable ones, those that may be sent a request now: they have
-   * connections left, and their rate limit, where they advertise one, is not used up.
+   * The preferred upstreams, or else the usable ones, that can be sent a request now: they have connections left,
+   * and their advertised rate limit, if any, is not used up.
    */
-  open(service: string): Upstream[];
-  /** Why none of a service's upstreams, apart from those already tried, may be sent a request now. */
-  obstacle(service: string, tried?: ReadonlySet<string>): Obstacle;
-  /** Milliseconds until the rate limits of a service's upstreams allow a request; 0 where one does now. */
+  available(service: string): Upstream[];
+  /** Why none of a service's upstreams, apart from those already tried, can be sent a request now. */
+  unavailableReason(service: string, tried?: ReadonlySet<string>): UnavailableReason;
+  /** Milliseconds until the rate limits of a service's upstreams allow a request; 0 if they do now. */
   waitMs(service: string): number;
-  /** One of the least loaded of a service's upstreams, apart from those already tried. */
-  choose(service: string, tried: ReadonlySet<string>): Upstream | undefined;
-  /** Most of a service's upstreams have just refused to run a request. */
+  /** Selects one of the least loaded upstreams of a service, apart from those already tried. */
+  select(service: string, tried: ReadonlySet<string>): Upstream | undefined;
+  /** Whether more than `REFUSING_FRACTION` of a service's upstreams have just refused to run a request. */
   isRefusing(service: string): boolean;
-  /** The agent beside the upstream at this address tells its pace. */
-  notePace(pace: EnginePace): void;
-  /** Another entry tells its requests at the upstreams. */
-  notePeerLoad(peer: string, share: LoadShare): void;
-  /** Another instance answered at this one's address. */
-  noteReplaced(upstream: Upstream): void;
+  /** Records the slowdown that the agent beside the upstream at this address reports. */
+  recordSlowdown(pace: EnginePace): void;
+  /** Applies the load update of another entry: its requests at the upstreams. */
+  applyPeerLoad(peer: string, share: LoadShare): void;
+  /** Records that another instance responded at this one's address. */
+  recordReplaced(upstream: Upstream): void;
+  /** All upstreams that are known, including those whose entry has lapsed recently. */
   all(): Upstream[];
 }
 
-/** Reads an entry of the platform's list. */
+/** Decodes an entry of the platform's list. */
 export type DecodeUpstream = (
   key: string,
   value: Uint8Array,
@@ -61,14 +62,14 @@
 export interface DirectoryOptions {
   decode: DecodeUpstream;
   dataCentre: string;
-  /** An upstream's process has ended: it has started again, or another one is listed at its address. */
-  onEnded: (upstream: UpstreamRecord) => void;
-  /** Most connections that one upstream of a service accepts from all entries together. */
+  /** Called when an upstream's process has exited: it has started again, or another one is listed at its address. */
+  onExited: (upstream: UpstreamRecord) => void;
+  /** Maximum number of connections that one upstream of a service accepts from all entries together. */
   maxConnections: (service: string) => number;
-  /** Part of the entries that this one hears of, for limits that hold for all entries together. */
-  linkedShare: () => number;
-  /** When the platform's log came back after an outage (monotonic, ms). */
-  logBackAt: () => number;
+  /** Fraction of the entries that this one is connected with, for limits that hold for all entries together. */
+  connectedFraction: () => number;
+  /** When the platform's log became available again after an outage (monotonic, ms). */
+  logRecoveredAt: () => number;
   clock: Clock;
   random: Random;
   metrics: Metrics;
@@ -76,43 +77,45 @@
 }
 
 /**
- * An upstream whose entry lapsed in an outage of the log is back in the list about two seconds after
- * the log is, if it lives. So long it serves on where no other upstream of its service is listed.
+ * How long an upstream whose entry has lapsed is used if no other upstream of its service is listed, in ms, from the
+ * lapse or from the end of an outage of the log. A running upstream writes its entry again about two seconds after such
+ * an outage.
  */
 const LAPSED_GRACE_MS = 2_000;
-/** Share of a service's upstreams that refuse when the others will, too; not told of a few. */
-const MOST_REFUSING = 0.2;
-const FEW_UPSTREAMS = 6;
+/** If more than this fraction of a service's upstreams refuse, the others are expected to refuse as well. */
+const REFUSING_FRACTION = 0.2;
+/** With fewer upstreams nothing is concluded from the refusals of some. */
+const MIN_UPSTREAMS = 6;
 
 const addressOf = ({ host, port }: UpstreamRecord): string => `${host}:${port}`;
 
 /**
- * Of several instances at one address the one that was listed last. The others have ended, though
- * their entries stand for seconds yet, and after a loss of power half of all attempts went to them.
- * An entry that another writer made up for a sound upstream's address is told by its first answer.
+ * Keeps, of several instances at one address, the one that was listed last. The others have exited, although their
+ * entries stay in the list for some seconds; after a power failure half of all attempts went to them. An invented entry
+ * at the address of a running upstream is detected by the first response there.
  */
 const latestAtEachAddress = (upstreams: readonly Upstream[]): Upstream[] => [
-  ...new Map(upstreams.map((u) => [addressOf(u.record), u])).values(),
+  ...new Map(upstreams.map((upstream) => [addressOf(upstream.record), upstream])).values(),
 ];
 
-/** Addresses of which the last upstream is remembered; a bound on memory. */
-const MOST_ADDRESSES = 4_096;
+/** Maximum number of addresses whose last upstream is remembered; bounds the memory. */
+const MAX_ADDRESSES = 4_096;
 
-/** Creates a directory that follows the platform's list. */
+/** Creates an empty directory. */
 export const createDirectory = (options: DirectoryOptions): Directory => {
-  const { decode, dataCentre, logBackAt, clock, random, metrics, log } = options;
+  const { decode, dataCentre, logRecoveredAt, clock, random, metrics, log } = options;
   const listed = new Map<string, Upstream>();
   const lapsed = new Map<string, { upstream: Upstream; at: number }>();
   const leaving = new Set<string>();
   const replaced = new WeakSet<Upstream>();
-  const starts = createKnownStarts();
-  /** Also of upstreams whose entry has lapsed: one that crashed is back after that. */
+  const knownStarts = createKnownStarts();
+  /** Includes upstreams whose entry has lapsed: one that crashed starts again only after that. */
   const lastAtAddress = new Map<string, UpstreamRecord>();
-  const arrivals = createArrivals(clock);
-  const noteForeign = createForeignEntries(metrics, log);
-  const paceListeners = new Set<() => void>();
-  /** Upstreams that are there; worked out again after each change of the list. */
-  let present: Upstream[] | undefined;
+  const arrivals = createPeerArrivals(clock);
+  const recordInvalidEntry = createInvalidEntryRecorder(metrics, log);
+  const slowdownListeners = new Set<() => void>();
+  /** Listed upstreams that are at their address; computed again after each change of the list. */
+  let presentUpstreams: Upstream[] | undefined;
 
   const forget = (instance: string): void => {
     listed.delete(instance);
@@ -120,29 +123,29 @@
     leaving.delete(instance);
   };
 
-  /** Tells of the upstream that was listed last at an address and is not there any more, unless it had left. */
-  const notePredecessor = (record: UpstreamRecord): void => {
+  /** Reports the exit of the upstream that was listed before at this address, unless it had announced its exit. */
+  const reportPredecessor = (record: UpstreamRecord): void => {
     const address = addressOf(record);
     const last = lastAtAddress.get(address);
     const isSame = last?.instance === record.instance && last.startedAt === record.startedAt;
-    if (last && !isSame) options.onEnded(last);
+    if (last && !isSame) options.onExited(last);
     lastAtAddress.delete(address);
     if (record.state === 'ready') lastAtAddress.set(address, record);
     const [oldest] = lastAtAddress.keys();
-    if (lastAtAddress.size > MOST_ADDRESSES && oldest !== undefined) lastAtAddress.delete(oldest);
+    if (lastAtAddress.size > MAX_ADDRESSES && oldest !== undefined) lastAtAddress.delete(oldest);
   };
 
   const add = (record: UpstreamRecord): void => {
     const { instance, startedAt, sequence } = record;
-    const standing = starts.take(record);
-    // A heartbeat that an upstream sent before it announced its leaving may arrive after it, and one
-    // of an earlier start after it has started again: taken for news, a caller's request would go to
-    // an upstream that leaves, or a sound one would be left out for good.
-    if (standing === 'outdated') {
+    const status = knownStarts.accept(record);
+    // A heartbeat may arrive after the announcement that its upstream is leaving, or after the upstream has
+    // started again. If it were applied, requests would be sent to an upstream that is leaving, or a healthy
+    // one would be excluded for good.
+    if (status === 'outdated') {
       metrics.count('gateway_outdated_entries');
       return;
     }
-    if (standing === 'later-start') {
+    if (status === 'later-start') {
       forget(instance);
       log.event('upstream-started-again', { upstream: instance, startedAt, sequence });
     }
@@ -152,14 +155,14 @@
       leaving.add(record.instance);
       log.event('upstream-leaving', { upstream: record.instance, service: record.service });
     }
-    const settled: UpstreamRecord = { ...record, state: isLeaving ? 'draining' : record.state };
+    const effective: UpstreamRecord = { ...record, state: isLeaving ? 'draining' : record.state };
     lapsed.delete(record.instance);
     if (!known) {
       log.event('upstream-listed', { upstream: record.instance, service: record.service });
     }
-    notePredecessor(settled);
-    const upstream = known ?? createUpstream(settled, clock, options.linkedShare);
-    upstream.update(settled);
+    reportPredecessor(effective);
+    const upstream = known ?? createUpstream(effective, clock, options.connectedFraction);
+    upstream.update(effective);
     listed.set(record.instance, upstream);
   };
 
@@ -169,10 +172,10 @@
     if (!upstream) return;
     log.event('upstream-gone', { upstream: instance, service: upstream.record.service });
     if (leaving.delete(instance)) {
-      starts.noteLeft(instance);
+      knownStarts.recordLeft(instance);
       return;
     }
-    starts.noteRemoved(instance);
+    knownStarts.recordRemoved(instance);
     lapsed.set(instance, { upstream, at: clock.monotonic() });
   };
 
@@ -183,9 +186,9 @@
 
   const lapsedOf = (service: string): Upstream[] => {
     const now = clock.monotonic();
-    const oldest = Math.max(logBackAt(), 0);
+    const recoveredAt = Math.max(logRecoveredAt(), 0);
     [...lapsed].forEach(([instance, { at }]) => {
-      if (now > Math.max(at, oldest) + LAPSED_GRACE_MS) lapsed.delete(instance);
+      if (now > Math.max(at, recoveredAt) + LAPSED_GRACE_MS) lapsed.delete(instance);
     });
     return [...lapsed.values()]
       .map(({ upstream }) => upstream)
@@ -193,52 +196,54 @@
   };
 
   const usable = (service: string): Upstream[] => {
-    present ??= latestAtEachAddress([...listed.values()].filter((each) => !replaced.has(each)));
-    const ready = present.filter((upstream) => isReady(upstream, service));
+    presentUpstreams ??= latestAtEachAddress(
+      [...listed.values()].filter((each) => !replaced.has(each)),
+    );
+    const ready = presentUpstreams.filter((upstream) => isReady(upstream, service));
     return ready.length > 0 ? ready : lapsedOf(service);
   };
 
   const preferred = (service: string): Upstream[] => withoutSlow(usable(service));
 
-  const isOpen = ({ rate, record, total }: Upstream): boolean =>
+  const isAvailable = ({ rate, record, total }: Upstream): boolean =>
     rate.waitMs() === 0 && total() < options.maxConnections(record.service);
 
-  const cheapest = (service: string, upstreams: readonly Upstream[]): Upstream | undefined => {
-    const offers = upstreams.map((upstream) => ({
-      cost: costOf(upstream, dataCentre),
+  const leastLoaded = (service: string, upstreams: readonly Upstream[]): Upstream | undefined => {
+    const candidates = upstreams.map((upstream) => ({
+      cost: loadScoreOf(upstream, dataCentre),
       free: upstream.record.slots - upstream.total(),
     }));
-    return upstreams[pickOffer(offers, arrivals.unheard(service), random)];
+    return upstreams[pickOffer(candidates, arrivals.unreported(service), random)];
   };
 
   return {
     apply: ({ key, value }) => {
-      present = undefined;
+      presentUpstreams = undefined;
       if (value === undefined) {
         remove(key);
         return;
       }
       const entry = decode(key, value);
       if (entry.ok) add(entry.value);
-      // What is known under this key holds: the upstream itself writes there again, or it lapses.
-      else noteForeign(key, value, entry.err);
+      // What is known under this key stays valid: the upstream itself writes the entry again, or it lapses.
+      else recordInvalidEntry(key, value, entry.err);
     },
     usable,
     preferred,
-    isHoldingUp: (upstream) =>
-      upstream.pace() > 1 && !preferred(upstream.record.service).includes(upstream),
-    onPaceChange: (listener) => {
-      paceListeners.add(listener);
-      return () => paceListeners.delete(listener);
+    isStraggler: (upstream) =>
+      upstream.slowdown() > 1 && !preferred(upstream.record.service).includes(upstream),
+    onSlowdownChange: (listener) => {
+      slowdownListeners.add(listener);
+      return () => slowdownListeners.delete(listener);
     },
-    open: (service) => {
-      const quick = preferred(service).filter(isOpen);
-      return quick.length > 0 ? quick : usable(service).filter(isOpen);
+    available: (service) => {
+      const fast = preferred(service).filter(isAvailable);
+      return fast.length > 0 ? fast : usable(service).filter(isAvailable);
     },
-    obstacle: (service, tried = new Set()) => {
-      const fresh = usable(service).filter(({ record }) => !tried.has(record.instance));
-      if (fresh.length === 0) return 'no-upstream';
-      return fresh.some(({ rate }) => rate.waitMs() > 0)
+    unavailableReason: (service, tried = new Set()) => {
+      const untried = usable(service).filter(({ record }) => !tried.has(record.instance));
+      if (untried.length === 0) return 'no-upstream';
+      return untried.some(({ rate }) => rate.waitMs() > 0)
         ? 'upstreams-rate-limited'
         : 'upstreams-full';
     },
@@ -246,42 +251,42 @@
       const waits = usable(service).map(({ rate }) => rate.waitMs());
       return waits.length === 0 ? 0 : Math.min(...waits);
     },
-    choose: (service, tried) => {
-      const isFresh = (upstream: Upstream): boolean =>
-        !tried.has(upstream.record.instance) && isOpen(upstream);
-      const fresh = usable(service).filter(isFresh);
-      const quick = preferred(service).filter(isFresh);
-      const sound = quick.filter((upstream) => !upstream.isSuspect());
-      // Never all ejected: with every upstream suspect the least loaded is tried all the same.
-      const those = [sound, quick, fresh].find(({ length }) => length > 0) ?? [];
-      return cheapest(service, those);
+    select: (service, tried) => {
+      const isUntried = (upstream: Upstream): boolean =>
+        !tried.has(upstream.record.instance) && isAvailable(upstream);
+      const untried = usable(service).filter(isUntried);
+      const fast = preferred(service).filter(isUntried);
+      const healthy = fast.filter((upstream) => !upstream.isSuspect());
+      // If every upstream is suspect, one of them is tried all the same.
+      const candidates = [healthy, fast, untried].find(({ length }) => length > 0) ?? [];
+      return leastLoaded(service, candidates);
     },
     isRefusing: (service) => {
       const all = usable(service);
       const refusing = all.filter((upstream) => upstream.isRefusing()).length;
-      return all.length >= FEW_UPSTREAMS && refusing > all.length * MOST_REFUSING;
+      return all.length >= MIN_UPSTREAMS && refusing > all.length * REFUSING_FRACTION;
     },
-    notePace: ({ host, port, startedAt, pace }) => {
+    recordSlowdown: ({ host, port, startedAt, pace }) => {
       [...listed.values()]
         .filter(({ record }) => record.host === host && record.port === port)
         .filter(({ record }) => record.startedAt <= startedAt)
         .forEach((upstream) => {
-          const before = upstream.pace();
+          const before = upstream.slowdown();
           upstream.notePace(pace);
-          if (upstream.pace() !== before) paceListeners.forEach((listener) => listener());
+          if (upstream.slowdown() !== before) slowdownListeners.forEach((listener) => listener());
         });
     },
-    notePeerLoad: (peer, { isWhole, counts }) => {
+    applyPeerLoad: (peer, { isWhole, counts }) => {
       listed.forEach((upstream, instance) => {
         const count = counts[instance] ?? (isWhole ? 0 : undefined);
         if (count !== undefined) {
-          arrivals.note(upstream.record.service, upstream.notePeer(peer, count));
+          arrivals.record(upstream.record.service, upstream.notePeer(peer, count));
         }
       });
     },
-    noteReplaced: (upstream) => {
+    recordReplaced: (upstream) => {
       replaced.add(upstream);
-      present = undefined;
+      presentUpstreams = undefined;
       log.event('upstream-replaced', { upstream: upstream.record.instance });
     },
     all: () => [...listed.values(), ...[...lapsed.values()].map(({ upstream }) => upstream)],
--- a/packages/gateway/src/upstreams/known-starts.ts
+++ b/packages/gateway/src/upstreams/known-starts.ts
@@ -1,30 +1,30 @@
-/** Which start of each upstream is the latest known, and which entries are of an earlier time. */
+/** Remembers the latest start of each upstream, and detects outdated entries of the platform's list. */
 
 import type { UpstreamRecord } from '../types.js';
 
 /** How an entry relates to what is known of its instance. */
-export type EntryStanding =
+export type RecordStatus =
   /** Nothing is known of the instance. */
   | 'first'
-  /** The instance has started again: nothing that is known of it holds any more. */
+  /** The instance has started again: what was known of it is no longer valid. */
   | 'later-start'
-  /** The start that is known says something newer, or the same again. */
+  /** The known start has written a newer entry, or the same one again. */
   | 'current'
-  /** A late word: of an earlier start, of an earlier time, or of a start that has left or whose entry was removed. */
+  /** An earlier start, an older heartbeat, or a start that has left or whose entry was removed. */
   | 'outdated';
 
 /** The latest known start of each instance. */
 export interface KnownStarts {
-  /** Takes an entry unless it is outdated. */
-  take(record: UpstreamRecord): EntryStanding;
-  /** The start that is known has left for good: no later word of it counts. */
-  noteLeft(instance: string): void;
-  /** Its entry was removed without an announcement: only a later heartbeat brings it back. */
-  noteRemoved(instance: string): void;
+  /** Records an entry unless it is outdated; returns its status. */
+  accept(record: UpstreamRecord): RecordStatus;
+  /** Records that the known start has left: all further entries of it are outdated. */
+  recordLeft(instance: string): void;
+  /** Records that its entry was removed without an announcement: only a newer heartbeat is accepted. */
+  recordRemoved(instance: string): void;
 }
 
-/** Instances that are remembered; the oldest are forgotten first. A bound on memory. */
-const MOST_INSTANCES = 4_096;
+/** Maximum number of instances that are remembered, the oldest are forgotten first; bounds the memory. */
+const MAX_INSTANCES = 4_096;
 
 interface KnownStart {
   startedAt: number;
@@ -33,36 +33,38 @@
   isRemoved: boolean;
 }
 
-/** Creates the memory; it outlives entries, as late words of an upstream come after its removal. */
+/**
+ * Creates an empty `KnownStarts`. It remembers removed entries too, as an upstream's heartbeats may arrive after them.
+ */
 export const createKnownStarts = (): KnownStarts => {
   const known = new Map<string, KnownStart>();
 
-  const standing = ({ instance, startedAt, sequence }: UpstreamRecord): EntryStanding => {
+  const statusOf = ({ instance, startedAt, sequence }: UpstreamRecord): RecordStatus => {
     const last = known.get(instance);
     if (!last) return 'first';
     if (startedAt > last.startedAt) return 'later-start';
     const isEarlier = startedAt < last.startedAt || sequence < last.sequence;
-    // A log that was restored from an older copy hands out again what was removed since.
+    // A log that was restored from an older copy contains entries that have been removed since.
     const isRemoved = last.isRemoved && sequence === last.sequence;
     return isEarlier || last.hasLeft || isRemoved ? 'outdated' : 'current';
   };
 
   return {
-    take: (record) => {
-      const found = standing(record);
-      if (found === 'outdated') return found;
+    accept: (record) => {
+      const status = statusOf(record);
+      if (status === 'outdated') return status;
       const { instance, startedAt, sequence } = record;
       known.delete(instance);
       known.set(instance, { startedAt, sequence, hasLeft: false, isRemoved: false });
       const [oldest] = known.keys();
-      if (known.size > MOST_INSTANCES && oldest !== undefined) known.delete(oldest);
-      return found;
+      if (known.size > MAX_INSTANCES && oldest !== undefined) known.delete(oldest);
+      return status;
     },
-    noteLeft: (instance) => {
+    recordLeft: (instance) => {
       const last = known.get(instance);
       if (last) last.hasLeft = true;
     },
-    noteRemoved: (instance) => {
+    recordRemoved: (instance) => {
       const last = known.get(instance);
       if (last) last.isRemoved = true;
     },
--- a/packages/gateway/src/upstreams/pace-record.ts
+++ b/packages/gateway/src/upstreams/pace-record.ts
@@ -1,57 +1,61 @@
-/** How slow one upstream is, as its agent tells it, and when it is trusted again. */
+/** Tracks the slowdown that an upstream's agent reports, and when a recovered upstream is trusted again. */
 
 import type { Clock } from '@plantaindrum/common';
 
-/** The pace of one upstream. */
-export interface PaceRecord {
-  /** The agent beside the upstream tells its pace; 1 is usual. */
-  note(pace: number): void;
-  /** Time of its work over the usual; that of its slow time until it is trusted again. */
-  pace(): number;
+/** The slowdown of one upstream. */
+export interface SlowdownTracker {
+  /** Records a report of the upstream's agent; 1 is normal speed. */
+  record(slowdown: number): void;
+  /** Time of its work relative to the baseline; the last slow value until a recovered upstream is trusted again. */
+  slowdown(): number;
 }
 
-/** A pace up to this is taken for the usual one: engines differ by some hundredths. */
-const USUAL = 1.1;
+/** A slowdown up to this counts as normal: engines differ by a few hundredths. */
+const MAX_BASELINE_SLOWDOWN = 1.1;
 /**
- * Without word from the agent a slow pace is believed for this long, in ms: an agent that was killed
- * is back within two seconds, and until then its engine would get streams that hold up all others.
+ * How long a report of a slowdown is valid without a newer one, in ms. An agent that was killed runs again within two
+ * seconds; if its report expired before, its engine would get streams that delay all others.
  */
-const BELIEVED_MS = 2_500;
+const SLOW_REPORT_VALID_MS = 2_500;
 /**
- * Pause from the first sound word until an upstream is used again, in ms, doubled each time that it
- * turns slow again soon. One rank of a group less costs a twelfth of its places; one that flaps makes
- * every stream late each time.
+ * Delay from the first report of normal speed until an upstream is used again, in ms, doubled each time that it becomes
+ * slow again soon. A group of twelve that does without one rank loses a twelfth of its slots; a rank that keeps
+ * changing its speed delays every stream each time.
  */
-const PAUSE_MS = 500;
-const PAUSE_MAX_MS = 4_000;
-/** An upstream that has been sound for this long begins with the shortest pause again, in ms. */
-const FORGOTTEN_MS = 10_000;
+const TRUST_DELAY_MS = 500;
+/** Limit of the doubled delay, in ms. */
+const MAX_TRUST_DELAY_MS = 4_000;
+/** After this long at normal speed an upstream starts with the shortest delay again, in ms. */
+const TRUST_RESET_MS = 10_000;
 
-/** Creates the record of an upstream of which nothing is known. */
-export const createPaceRecord = (clock: Clock): PaceRecord => {
-  let slow: { pace: number; at: number } | undefined;
-  let soundSince: number | undefined;
-  let pauseMs = PAUSE_MS;
+/** Creates the tracker of an upstream without any reports. */
+export const createSlowdownTracker = (clock: Clock): SlowdownTracker => {
+  let slow: { slowdown: number; at: number } | undefined;
+  let recoveredSince: number | undefined;
+  let trustDelayMs = TRUST_DELAY_MS;
 
-  const noteSlow = (pace: number, now: number): void => {
-    const soundFor = soundSince === undefined ? 0 : now - soundSince;
-    if (soundFor > FORGOTTEN_MS) pauseMs = PAUSE_MS;
-    else if (soundFor > 0) pauseMs = Math.min(PAUSE_MAX_MS, pauseMs * 2);
-    soundSince = undefined;
-    slow = { pace, at: now };
+  const recordSlow = (slowdown: number, now: number): void => {
+    const recoveredForMs = recoveredSince === undefined ? 0 : now - recoveredSince;
+    if (recoveredForMs > TRUST_RESET_MS) trustDelayMs = TRUST_DELAY_MS;
+    else if (recoveredForMs > 0) trustDelayMs = Math.min(MAX_TRUST_DELAY_MS, trustDelayMs * 2);
+    recoveredSince = undefined;
+    slow = { slowdown, at: now };
   };
 
   return {
-    note: (pace) => {
+    record: (slowdown) => {
       const now = clock.monotonic();
-      if (pace > USUAL) noteSlow(pace, now);
-      else if (slow) soundSince ??= now;
+      if (slowdown > MAX_BASELINE_SLOWDOWN) recordSlow(slowdown, now);
+      else if (slow) recoveredSince ??= now;
     },
-    pace: () => {
+    slowdown: () => {
       if (!slow) return 1;
       const now = clock.monotonic();
-      const until = soundSince === undefined ? slow.at + BELIEVED_MS : soundSince + pauseMs;
-      return now < until ? slow.pace : 1;
+      const until =
+        recoveredSince === undefined
+          ? slow.at + SLOW_REPORT_VALID_MS
+          : recoveredSince + trustDelayMs;
+      return now < until ? slow.slowdown : 1;
     },
   };
 };
--- a/packages/gateway/src/upstreams/rate-limits.ts
+++ b/packages/gateway/src/upstreams/rate-limits.ts
@@ -1,56 +1,60 @@
-/** Rate limits that upstreams advertise: what this entry learns and sends, and what others tell of it. */
+/**
+ * Rate limits of all upstreams: applies advertised limits and sent requests, and exchanges both with the other entries.
+ */
 
 import type { EventLog, Metrics } from '@plantaindrum/common';
 import type { RateNews } from '../mesh/rate-news.js';
 import type { Upstream } from './upstream.js';
 
-/** What an answer says of its upstream's limit. */
-export interface AnsweredLimit {
+/** What a response says about the rate limit of its upstream. */
+export interface ResponseLimit {
   requestId: string;
-  /** Requests a second from all entries together; undefined: it advertises none. */
+  /** Requests a second from all entries together; undefined: it advertises no limit. */
   perSecond: number | undefined;
   /** When its request was sent (monotonic, ms). */
   sentAt: number;
-  /** The upstream ran the request: only such an answer without a limit clears one. */
+  /** Whether the upstream ran the request: only then does a response without a limit clear it. */
   hasRun: boolean;
 }
 
 /** The limits of all upstreams, shared with the other entries. */
 export interface RateLimits {
-  noteAnswer(upstream: Upstream, answer: AnsweredLimit): void;
-  /** This entry sends a request to the upstream. */
+  /** Applies what a response says about the limit. */
+  noteAnswer(upstream: Upstream, response: ResponseLimit): void;
+  /** Records that this entry sends a request to the upstream. */
   noteSent(upstream: Upstream): void;
-  /** Another entry's news. */
-  takeNews(peer: string, news: RateNews): void;
-  /** All limits that are known, for an entry that is newly linked. */
+  /** Applies the update of another entry. */
+  takeNews(peer: string, update: RateNews): void;
+  /** All known limits, for an entry that has just connected. */
   whole(): RateNews;
 }
 
 /** Options of `createRateLimits`. */
 export interface RateLimitsOptions {
   upstreams: () => readonly Upstream[];
-  tell: (news: RateNews) => void;
+  /** Sends an update to all other entries. */
+  tell: (update: RateNews) => void;
   metrics: Metrics;
   log: EventLog;
 }
 
-/** Creates the limits of an entry that has heard of none. */
+/** Creates the rate limits of an entry that knows none. */
 export const createRateLimits = (options: RateLimitsOptions): RateLimits => {
-  const { upstreams, tell, metrics, log } = options;
+  const { upstreams, tell: broadcast, metrics, log } = options;
 
   const logChange = (
     { record, rate }: Upstream,
     before: number | undefined,
-    learnt: { requestId: string } | { peer: string },
+    source: { requestId: string } | { peer: string },
   ): void => {
     const perSecond = rate.perSecond();
     const change = perSecond === undefined ? 'cleared' : 'set';
     metrics.count('gateway_rate_limits', { change });
     const { instance, service } = record;
-    log.event('upstream-rate-limit', { upstream: instance, service, perSecond, before, ...learnt });
+    log.event('upstream-rate-limit', { upstream: instance, service, perSecond, before, ...source });
   };
 
-  /** Runs `run` for the upstream that a peer means, if its start is the one that is listed here. */
+  /** Runs `run` for the upstream that a peer names, if the same start of it is known here. */
   const withUpstream = (
     { instance, startedAt }: { instance: string; startedAt: number },
     run: (upstream: Upstream) => void,
@@ -64,31 +68,31 @@
       const { rate, record } = upstream;
       if (perSecond === undefined && !hasRun) return;
       const before = rate.perSecond();
-      const isNews = perSecond === undefined ? rate.clear(sentAt) : rate.set(perSecond);
-      if (!isNews) return;
+      const isChanged = perSecond === undefined ? rate.clear(sentAt) : rate.set(perSecond);
+      if (!isChanged) return;
       logChange(upstream, before, { requestId });
       const { instance, startedAt } = record;
-      tell({ limits: [{ instance, startedAt, perSecond: perSecond ?? null }], sent: [] });
+      broadcast({ limits: [{ instance, startedAt, perSecond: perSecond ?? null }], sent: [] });
     },
     noteSent: ({ rate, record }) => {
       if (rate.perSecond() === undefined) return;
       rate.spend(1);
       metrics.count('gateway_attempts_rate_limited', { service: record.service });
       const { instance, startedAt } = record;
-      tell({ limits: [], sent: [{ instance, startedAt, requests: 1 }] });
+      broadcast({ limits: [], sent: [{ instance, startedAt, requests: 1 }] });
     },
     takeNews: (peer, { limits, sent }) => {
-      limits.forEach((news) => {
-        withUpstream(news, (upstream) => {
+      limits.forEach((limit) => {
+        withUpstream(limit, (upstream) => {
           const before = upstream.rate.perSecond();
-          const isNews =
-            news.perSecond === null
+          const isChanged =
+            limit.perSecond === null
               ? upstream.rate.clear(Infinity)
-              : upstream.rate.set(news.perSecond);
-          if (isNews) logChange(upstream, before, { peer });
+              : upstream.rate.set(limit.perSecond);
+          if (isChanged) logChange(upstream, before, { peer });
         });
       });
-      sent.forEach((news) => withUpstream(news, ({ rate }) => rate.spend(news.requests)));
+      sent.forEach((request) => withUpstream(request, ({ rate }) => rate.spend(request.requests)));
     },
     whole: () => ({
       limits: upstreams().flatMap(({ rate, record: { instance, startedAt } }) => {
--- a/packages/gateway/src/upstreams/slow-upstreams.ts
+++ b/packages/gateway/src/upstreams/slow-upstreams.ts
@@ -1,48 +1,53 @@
 /**
- * Which upstreams of a service to do without because they are slow.
+ * Excludes upstreams that are so slow that their service has a higher throughput without them.
  *
- * The pattern: the engines of an expert group begin each pass together, and a pass lasts as long as
- * the slowest of those that have streams. One rank 12 times slower made every pass 370 ms in place of
- * 50 until its last stream had ended, 7 s later, and every stream of the group late. What the group
- * makes is streams over the time of a pass, so a slow upstream is worth its places only where those of
- * the others don't take what is asked for.
+ * The engines of an expert group start each pass together, and a pass takes as long as that of the slowest rank that
+ * has streams. One rank that was 12 times slower raised every pass from 50 to 370 ms until its last stream ended 7 s
+ * later, and delayed every stream of the group. The throughput of a group is its streams divided by the time of a pass,
+ * so a slow upstream is worth using only if the others have too few slots for the requests.
  */
 
 import type { Upstream } from './upstream.js';
 
-/** An upstream as this decision needs it. */
-export interface PacedUpstream {
-  /** Time of its own work over the usual. */
-  pace: number;
+/** The slowdown and the slots of an upstream. */
+export interface UpstreamSlowdown {
+  /** Time of its own work relative to the baseline, 1 is normal. */
+  slowdown: number;
   slots: number;
 }
 
 /**
- * The pace up to which upstreams are used, for this many requests at once: the one with the most
- * requests over the time of a pass, and of equal ones the higher.
+ * Returns the largest slowdown of an upstream that is used, for this many concurrent requests: the one that gives the
+ * highest throughput, and the larger one of equals.
  */
-export const usedPace = (upstreams: readonly PacedUpstream[], requests: number): number => {
-  const paces = [...new Set(upstreams.map(({ pace }) => pace))].sort((a, b) => a - b);
+export const maxUsedSlowdown = (
+  upstreams: readonly UpstreamSlowdown[],
+  requests: number,
+): number => {
+  const slowdowns = [...new Set(upstreams.map(({ slowdown }) => slowdown))].sort((a, b) => a - b);
   let slots = 0;
-  let best = { pace: Infinity, output: -1 };
-  paces.forEach((pace) => {
+  let best = { slowdown: Infinity, throughput: -1 };
+  slowdowns.forEach((slowdown) => {
     slots += upstreams
-      .filter((upstream) => upstream.pace === pace)
+      .filter((upstream) => upstream.slowdown === slowdown)
       .reduce((sum, upstream) => sum + upstream.slots, 0);
-    const output = Math.min(slots, Math.max(1, requests)) / pace;
-    if (output >= best.output) best = { pace, output };
+    const throughput = Math.min(slots, Math.max(1, requests)) / slowdown;
+    if (throughput >= best.throughput) best = { slowdown, throughput };
   });
-  return best.pace;
+  return best.slowdown;
 };
 
-/** What is asked of an upstream to tell whether it is done without. */
-type Judged = Pick<Upstream, 'pace' | 'total' | 'record'>;
+/** What the decision needs of an upstream. */
+type SlowdownSource = Pick<Upstream, 'slowdown' | 'total' | 'record'>;
 
-/** Those that new work goes to: all, less the ones that would hold the others up. */
-export const withoutSlow = <U extends Judged>(upstreams: readonly U[]): U[] => {
-  if (upstreams.every((upstream) => upstream.pace() === 1)) return [...upstreams];
-  const paced = upstreams.map(({ pace, record }) => ({ pace: pace(), slots: record.slots }));
+/** Returns the upstreams that new requests are sent to: all except stragglers. */
+export const withoutSlow = <U extends SlowdownSource>(upstreams: readonly U[]): U[] => {
+  if (upstreams.every((upstream) => upstream.slowdown() === 1)) return [...upstreams];
+  const measured = upstreams.map(({ slowdown, record }) => ({
+    slowdown: slowdown(),
+    slots: record.slots,
+  }));
   const inFlight = upstreams.reduce((sum, upstream) => sum + upstream.total(), 0);
-  const most = usedPace(paced, inFlight);
-  return upstreams.filter((upstream) => upstream.pace() <= most);
+  const maxSlowdown = maxUsedSlowdown(measured, inFlight);
+  return upstreams.filter((upstream) => upstream.slowdown() <= maxSlowdown);
 };
--- a/packages/gateway/src/upstreams/upstream.ts
+++ b/packages/gateway/src/upstreams/upstream.ts
@@ -1,98 +1,107 @@
 import type { Clock } from '@plantaindrum/common';
 import type { UpstreamRecord } from '../types.js';
-import { createPaceRecord } from './pace-record.js';
+import { createSlowdownTracker } from './pace-record.js';
 import { createRateLimit } from './rate-limit.js';
 import type { RateLimit } from './rate-limit.js';
 
-/** One upstream as this entry sees it. */
+/** One upstream as this entry knows it. */
 export interface Upstream {
   readonly record: UpstreamRecord;
-  /** Takes what the upstream says of itself now. */
+  /** Replaces the upstream's record. */
   update(record: UpstreamRecord): void;
-  /** Requests of this entry that are at the upstream. */
+  /** Requests of this entry that are in flight at the upstream. */
   inFlight(): number;
+  /** Counts a request of this entry as in flight. */
   begin(): void;
+  /** Counts a request of this entry as ended. */
   end(): void;
-  /** Requests of another entry that are at the upstream; how many more these are than before. */
+  /** Sets the number of another entry's requests at the upstream; returns by how many it has grown. */
   notePeer(peer: string, inFlight: number): number;
+  /** Drops the requests of another entry that has disconnected. */
   forgetPeer(peer: string): void;
-  /** All requests known to be at the upstream, over its slots. */
+  /** All requests known to be at the upstream, including those that it reports, divided by its slots. */
   load(): number;
+  /** Requests of all entries that are known to be in flight at the upstream. */
   total(): number;
-  /** The agent beside the upstream says that it works this much slower than usual. */
+  /** Records the slowdown that the upstream's agent reports. */
   notePace(pace: number): void;
-  /** Time of its work over the usual; 1 unless its agent has said otherwise lately. */
-  pace(): number;
-  /** Load that one more request would bring, more where the upstream is slow. */
+  /** Time of its work relative to the baseline; 1 unless its agent has recently reported a slowdown. */
+  slowdown(): number;
+  /** Load with one more request, multiplied by the slowdown. */
   costOfNext(): number;
-  /** Running and waiting requests as the upstream reports them. */
-  noteLoad(running: number, waiting: number): void;
+  /** Records the running and waiting requests that the upstream reports. */
+  recordLoad(running: number, waiting: number): void;
   /** The rate limit that it advertises for all entries together. */
   readonly rate: RateLimit;
-  /** Outcome of an attempt, for its health. */
-  noteSuccess(): void;
+  /** Record the outcome of an attempt, for the upstream's health. */
+  recordSuccess(): void;
   noteFailure(kind: 'unreachable' | 'failed' | 'refused'): void;
-  /** The upstream refused a request without running it. */
-  noteRefusal(): void;
-  /** It has refused a request a moment ago, and answered none since. */
+  /** Records that the upstream refused a request without running it. */
+  recordRefusal(): void;
+  /** Whether it has just refused a request, and has answered none since. */
   isRefusing(): boolean;
-  /** Not to be chosen while others are there. */
+  /** Whether it is selected only if there is no other upstream. */
   isSuspect(): boolean;
-  /** Share of recent attempts that failed, 0 to 1. */
-  failureShare(): number;
+  /** Fraction of recent attempts that failed, 0 to 1. */
+  failureRate(): number;
 }
 
-/** Weight of one outcome in the failure share: some eight outcomes are remembered. */
+/** Weight of one outcome in the moving average of failures: about eight outcomes count. */
 const OUTCOME_WEIGHT = 0.12;
-/** Failure share from which an upstream is suspect: three failures in a row from a clean state. */
-const SUSPECT_SHARE = 0.3;
-/** First time out after which a suspect is tried again, doubled each time, in ms. */
-const SUSPECT_MS = 400;
-const SUSPECT_MAX_MS = 3_200;
-/** A refusal says something about the next request for this long, in ms: a group forms in 600. */
-const REFUSING_MS = 300;
-/** An upstream's report of its load counts this long, in ms: later its queue has changed. */
-const LOAD_VALID_MS = 250;
+/** Failure rate above which an upstream is suspect: three failures in a row from zero. */
+const SUSPECT_FAILURE_RATE = 0.3;
+/** First backoff after which a suspect upstream is tried again, doubled each time, in ms. */
+const SUSPECT_BACKOFF_MS = 400;
+/** Limit of the doubled backoff, in ms. */
+const MAX_SUSPECT_BACKOFF_MS = 3_200;
+/** How long an upstream counts as refusing after a refusal, in ms: a group re-forms within 600 ms. */
+const REFUSAL_VALID_MS = 300;
+/** How long an upstream's report of its load is valid, in ms: its queue changes. */
+const LOAD_REPORT_VALID_MS = 250;
 
-/** Creates the view of one upstream; `linkedShare` is the part of the entries that this one hears of. */
+/**
+ * Creates the state of one upstream; `connectedFraction` is the fraction of the entries that this one is connected
+ * with.
+ */
 export const createUpstream = (
-  first: UpstreamRecord,
+  initial: UpstreamRecord,
   clock: Clock,
-  linkedShare: () => number = () => 1,
+  connectedFraction: () => number = () => 1,
 ): Upstream => {
-  let record = first;
-  let own = 0;
+  let record = initial;
+  let localInFlight = 0;
   const peers = new Map<string, number>();
-  // Asked for at each choice, of each upstream: summed over all entries it took most of the choice's time.
-  let ofPeers = 0;
-  let failureShare = 0;
+  // Kept as a sum: it is read for every upstream at each selection, and adding up all entries took most of that time.
+  let peersInFlight = 0;
+  let failureRate = 0;
   let suspectUntil = -Infinity;
-  let suspectMs = SUSPECT_MS;
+  let suspectBackoffMs = SUSPECT_BACKOFF_MS;
   let refusedAt = -Infinity;
-  const paceRecord = createPaceRecord(clock);
-  const rate = createRateLimit(clock, linkedShare);
+  const slowdownTracker = createSlowdownTracker(clock);
+  const rate = createRateLimit(clock, connectedFraction);
   let reportedLoad = { at: -Infinity, excess: 0 };
 
-  const total = (): number => own + ofPeers;
+  const total = (): number => localInFlight + peersInFlight;
 
-  const setPeer = (peer: string, inFlight: number): number => {
-    const more = inFlight - (peers.get(peer) ?? 0);
-    ofPeers += more;
+  const setPeerInFlight = (peer: string, inFlight: number): number => {
+    const increase = inFlight - (peers.get(peer) ?? 0);
+    peersInFlight += increase;
     if (inFlight > 0) peers.set(peer, inFlight);
     else peers.delete(peer);
-    return more;
+    return increase;
   };
 
   const load = (): number => {
-    const excess = clock.monotonic() - reportedLoad.at < LOAD_VALID_MS ? reportedLoad.excess : 0;
+    const excess =
+      clock.monotonic() - reportedLoad.at < LOAD_REPORT_VALID_MS ? reportedLoad.excess : 0;
     return (total() + excess) / Math.max(1, record.slots);
   };
 
-  const suspect = (): void => {
+  const markSuspect = (): void => {
     const now = clock.monotonic();
     if (now < suspectUntil) return;
-    suspectUntil = now + suspectMs;
-    suspectMs = Math.min(SUSPECT_MAX_MS, suspectMs * 2);
+    suspectUntil = now + suspectBackoffMs;
+    suspectBackoffMs = Math.min(MAX_SUSPECT_BACKOFF_MS, suspectBackoffMs * 2);
   };
 
   return {
@@ -102,40 +111,40 @@
     update: (next) => {
       record = next;
     },
-    inFlight: () => own,
+    inFlight: () => localInFlight,
     begin: () => {
-      own += 1;
+      localInFlight += 1;
     },
     end: () => {
-      own -= 1;
+      localInFlight -= 1;
     },
-    notePeer: setPeer,
+    notePeer: setPeerInFlight,
     forgetPeer: (peer) => {
-      setPeer(peer, 0);
+      setPeerInFlight(peer, 0);
     },
     total,
     load,
-    notePace: paceRecord.note,
-    pace: paceRecord.pace,
-    costOfNext: () => (load() + 1 / Math.max(1, record.slots)) * paceRecord.pace(),
-    noteLoad: (running, waiting) => {
+    notePace: slowdownTracker.record,
+    slowdown: slowdownTracker.slowdown,
+    costOfNext: () => (load() + 1 / Math.max(1, record.slots)) * slowdownTracker.slowdown(),
+    recordLoad: (running, waiting) => {
       reportedLoad = { at: clock.monotonic(), excess: Math.max(0, running + waiting - total()) };
     },
     rate,
-    noteRefusal: () => {
+    recordRefusal: () => {
       refusedAt = clock.monotonic();
     },
-    isRefusing: () => clock.monotonic() - refusedAt < REFUSING_MS,
-    noteSuccess: () => {
+    isRefusing: () => clock.monotonic() - refusedAt < REFUSAL_VALID_MS,
+    recordSuccess: () => {
       refusedAt = -Infinity;
-      failureShare *= 1 - OUTCOME_WEIGHT;
-      if (clock.monotonic() > suspectUntil) suspectMs = SUSPECT_MS;
+      failureRate *= 1 - OUTCOME_WEIGHT;
+      if (clock.monotonic() > suspectUntil) suspectBackoffMs = SUSPECT_BACKOFF_MS;
     },
     noteFailure: (kind) => {
-      failureShare += (1 - failureShare) * OUTCOME_WEIGHT;
-      if (kind === 'unreachable' || failureShare > SUSPECT_SHARE) suspect();
+      failureRate += (1 - failureRate) * OUTCOME_WEIGHT;
+      if (kind === 'unreachable' || failureRate > SUSPECT_FAILURE_RATE) markSuspect();
     },
     isSuspect: () => clock.monotonic() < suspectUntil,
-    failureShare: () => failureShare,
+    failureRate: () => failureRate,
   };
 };
--- a/packages/gateway/test/door.test.ts
+++ b/packages/gateway/test/caller-server.test.ts
@@ -3,13 +3,13 @@
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { createMetrics, silentEventLog } from '@plantaindrum/common';
-import { createDoor } from '../src/index.js';
-import type { Door } from '../src/index.js';
+import { createCallerServer } from '../src/index.js';
+import type { CallerServer } from '../src/index.js';
 
 const PORT = 18_331;
 const limits = { headerBytes: 400, bodyBytes: 100, headerTimeoutMs: 300, idleTimeoutMs: 400 };
 
-/** Sends bytes as they are and returns all that comes back. */
+/** Sends raw bytes and returns everything that is received. */
 const send = (bytes: string | Buffer, waitMs = 60): Promise<string> =>
   new Promise((resolve) => {
     const chunks: Buffer[] = [];
@@ -24,10 +24,10 @@
     setTimeout(done, waitMs);
   });
 
-const statusOf = (answer: string): string => answer.split(' ')[1] ?? 'none';
+const statusOf = (response: string): string => response.split(' ')[1] ?? 'none';
 
-describe('door', () => {
-  let door: Door;
+describe('caller server', () => {
+  let server: CallerServer;
   let handled: string[];
 
   beforeEach(async () => {
@@ -39,26 +39,33 @@
     };
     const listen = { host: '127.0.0.1', port: PORT };
     const metrics = createMetrics();
-    door = await createDoor({ listen, handle, maxConnections: 50, metrics, log: silentEventLog });
-    door.limit(limits);
+    server = await createCallerServer({
+      listen,
+      handle,
+      maxConnections: 50,
+      metrics,
+      log: silentEventLog,
+    });
+    server.setLimits(limits);
   });
 
-  afterEach(() => door.close());
+  afterEach(() => server.close());
 
-  // A second request hidden in the body of a first one would reach an upstream in another's name.
+  // Guards against request smuggling: a second request hidden in the body of the first one would reach an upstream
+  // on behalf of another caller.
   const malformed: [string, string, string][] = [
     [
-      'a length beside chunks',
+      'a Content-Length with chunked encoding',
       'POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /b HTTP/1.1\r\nHost: h\r\n\r\n',
       '400',
     ],
     [
-      'two lengths',
+      'two Content-Length fields',
       'POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab',
       '400',
     ],
-    ['no host', 'GET /a HTTP/1.1\r\n\r\n', '400'],
-    ['no request', 'nonsense\r\n\r\n', '400'],
+    ['a missing Host field', 'GET /a HTTP/1.1\r\n\r\n', '400'],
+    ['bytes that are not a request', 'nonsense\r\n\r\n', '400'],
     ['a space before the colon', 'GET /a HTTP/1.1\r\nHost : h\r\n\r\n', '400'],
     [
       'a header over the limit',
@@ -67,37 +74,40 @@
     ],
   ];
   malformed.forEach(([title, bytes, status]) => {
-    it(`answers ${status} to ${title}, and hands nothing on`, async () => {
+    it(`responds with ${status} to ${title}, and does not call the handler`, async () => {
       expect(statusOf(await send(bytes))).to.equal(status);
       expect(handled).to.deep.equal([]);
     });
   });
 
-  it('answers 408 to a header that does not end', async () => {
+  it('responds with 408 to an incomplete header', async () => {
     expect(statusOf(await send('GET /a HTTP/1.1\r\nHost: h\r\n', 1_500))).to.equal('408');
     expect(handled).to.deep.equal([]);
   });
 
-  it('hands on a sound request', async () => {
+  it('calls the handler for a valid request', async () => {
     expect(statusOf(await send('GET /a?b HTTP/1.1\r\nHost: h\r\n\r\n'))).to.equal('200');
     expect(handled).to.deep.equal(['/a?b']);
   });
 
-  // Whatever bytes come, the door answers with a 4xx or closes, and goes on serving others.
-  it('survives any bytes', async () => {
+  // For arbitrary bytes the server responds with an error status or closes the connection, and keeps serving others.
+  it('keeps serving after arbitrary bytes', async () => {
     await fc.assert(
       fc.asyncProperty(fc.uint8Array({ maxLength: 80 }), async (bytes) => {
-        const answer = await send(Buffer.concat([Buffer.from(bytes), Buffer.from('\r\n\r\n')]), 20);
-        expect(['none', '400', '408', '431', '505']).to.include(statusOf(answer));
+        const response = await send(
+          Buffer.concat([Buffer.from(bytes), Buffer.from('\r\n\r\n')]),
+          20,
+        );
+        expect(['none', '400', '408', '431', '505']).to.include(statusOf(response));
       }),
       { seed: 3, numRuns: 60 },
     );
     expect(statusOf(await send('GET /after HTTP/1.1\r\nHost: h\r\n\r\n'))).to.equal('200');
   });
 
-  // An entry has stopped listening and ends with its grace. A caller's connection outlived its
-  // stream, and the next request on it would be cut in the middle.
-  it('ends connections as their answers end, once it has stopped listening', async () => {
+  // An entry that has stopped listening exits at the end of its grace period. If a connection stayed open after its
+  // stream, the next request on it would be cut off.
+  it('closes connections after their response once it has stopped listening', async () => {
     const closed = new Promise<boolean>((resolve) => {
       const socket = connect(PORT, '127.0.0.1', () => {
         socket.write('GET /slow HTTP/1.1\r\nHost: h\r\n\r\n');
@@ -112,7 +122,7 @@
     await new Promise((resolve) => {
       setTimeout(resolve, 50);
     });
-    door.stopListening();
+    server.stopListening();
     expect(await closed).to.equal(true);
   });
 });
--- a/packages/gateway/test/directory.test.ts
+++ b/packages/gateway/test/directory.test.ts
@@ -22,9 +22,9 @@
   warmupLeftMs: 0,
   sequence: 9,
 };
-const again: UpstreamRecord = { ...first, startedAt: 2_000, sequence: 1 };
+const restarted: UpstreamRecord = { ...first, startedAt: 2_000, sequence: 1 };
 
-const start = () => {
+const createTestDirectory = () => {
   const events: unknown[][] = [];
   const ended: [instance: string, startedAt: number][] = [];
   const metrics = createMetrics();
@@ -35,10 +35,10 @@
       return text.startsWith('{') ? ok(JSON.parse(text) as UpstreamRecord) : fail('bytes');
     },
     dataCentre: 'd',
-    onEnded: ({ instance, startedAt }) => ended.push([instance, startedAt]),
+    onExited: ({ instance, startedAt }) => ended.push([instance, startedAt]),
     maxConnections: () => Infinity,
-    linkedShare: () => 1,
-    logBackAt: () => -Infinity,
+    connectedFraction: () => 1,
+    logRecoveredAt: () => -Infinity,
     clock,
     random: createSeededRandom(1),
     metrics,
@@ -49,165 +49,165 @@
       key,
       value: Buffer.from(typeof value === 'string' ? value : JSON.stringify(value)),
     });
-  const take = (record: UpstreamRecord): void => put(record.instance, record);
-  const chosen = (): UpstreamRecord | undefined => directory.choose('s', new Set())?.record;
-  return { directory, clock, metrics, events, ended, put, take, chosen };
+  const putRecord = (record: UpstreamRecord): void => put(record.instance, record);
+  const selected = (): UpstreamRecord | undefined => directory.select('s', new Set())?.record;
+  return { directory, clock, metrics, events, ended, put, putRecord, selected };
 };
 
-describe('upstreams that start again under their instance', () => {
-  // The upstream crashed and started again at once, under its instance, before its entry lapsed. Its
-  // sequence began anew, so its entries looked like old ones and it got no request ever again.
-  it('are used again although their sequence began anew', () => {
-    const { take, chosen, events } = start();
-    take(first);
-    take(again);
-    expect(chosen()).to.include({ startedAt: 2_000, sequence: 1 });
+describe('an upstream that starts again under the same instance', () => {
+  // An upstream crashes and starts again under the same instance before its entry lapses. Its sequence starts
+  // from the beginning; if its entries counted as outdated, it would never get a request again.
+  it('is used again although its sequence restarts', () => {
+    const { putRecord, selected, events } = createTestDirectory();
+    putRecord(first);
+    putRecord(restarted);
+    expect(selected()).to.include({ startedAt: 2_000, sequence: 1 });
     expect(events.map(([name]) => name)).to.include('upstream-started-again');
   });
 
-  // What ran at it when it crashed is suspect; an upstream that has left as announced crashed nobody.
-  it('are told as ended, and so are those at whose address another one is listed', () => {
-    const { take, ended } = start();
-    take(first);
-    take(again);
+  // Requests that ran at an upstream that crashed become suspect. One that announced its exit has not crashed.
+  it('is reported as exited, and so is one whose address another one takes', () => {
+    const { putRecord, ended } = createTestDirectory();
+    putRecord(first);
+    putRecord(restarted);
     expect(ended).to.deep.equal([[first.instance, first.startedAt]]);
-    take({ ...again, instance: 'next' });
-    expect(ended.slice(1)).to.deep.equal([[again.instance, again.startedAt]]);
-    take({ ...again, instance: 'next', state: 'draining', sequence: 2 });
-    take({ ...again, instance: 'after-it' });
+    putRecord({ ...restarted, instance: 'next' });
+    expect(ended.slice(1)).to.deep.equal([[restarted.instance, restarted.startedAt]]);
+    putRecord({ ...restarted, instance: 'next', state: 'draining', sequence: 2 });
+    putRecord({ ...restarted, instance: 'after-it' });
     expect(ended).to.have.lengthOf(2);
   });
 
-  // The entry of an upstream that crashed lapses, and some seconds later another one is listed at its address.
-  it('are told as ended after their entry has lapsed', () => {
-    const { take, put, ended, directory } = start();
-    take(first);
+  // The entry of a crashed upstream lapses, and some seconds later another instance is listed at its address.
+  it('is reported as exited after its entry has lapsed', () => {
+    const { putRecord, put, ended, directory } = createTestDirectory();
+    putRecord(first);
     directory.apply({ key: first.instance, value: undefined });
     put('next', { ...first, instance: 'next' });
     expect(ended).to.deep.equal([[first.instance, first.startedAt]]);
   });
 
-  // It announced its leaving, ended, and is back under its instance. It stayed "leaving" for ever.
-  it('are no longer leaving', () => {
-    const { take, chosen } = start();
-    take(first);
-    take({ ...first, state: 'draining', sequence: 10 });
-    expect(chosen()).to.equal(undefined);
-    take(again);
-    expect(chosen()).to.include({ startedAt: 2_000 });
+  // An upstream announces its exit, exits, and starts again under the same instance. It must not stay excluded.
+  it('is no longer leaving', () => {
+    const { putRecord, selected } = createTestDirectory();
+    putRecord(first);
+    putRecord({ ...first, state: 'draining', sequence: 10 });
+    expect(selected()).to.equal(undefined);
+    putRecord(restarted);
+    expect(selected()).to.include({ startedAt: 2_000 });
   });
 
-  // Its earlier start failed requests, was slow, and another instance answered at its address. None
-  // of that says anything about a process that knows nothing of before.
-  it('have no failures, load, pace or successor of the earlier start', () => {
-    const { directory, take, chosen } = start();
-    take(first);
-    const before = directory.choose('s', new Set());
+  // The earlier start failed requests and was slow, and another instance responded at its address. None of this
+  // applies to the new process.
+  it('has no failures, load, slowdown or replacement from the earlier start', () => {
+    const { directory, putRecord, selected } = createTestDirectory();
+    putRecord(first);
+    const before = directory.select('s', new Set());
     before?.begin();
     [1, 2, 3, 4].forEach(() => before?.noteFailure('failed'));
-    directory.notePace({ host: first.host, port: first.port, startedAt: 1_000, pace: 9 });
-    if (before) directory.noteReplaced(before);
-    expect(chosen()).to.equal(undefined);
-    take(again);
-    const now = directory.choose('s', new Set());
+    directory.recordSlowdown({ host: first.host, port: first.port, startedAt: 1_000, pace: 9 });
+    if (before) directory.recordReplaced(before);
+    expect(selected()).to.equal(undefined);
+    putRecord(restarted);
+    const now = directory.select('s', new Set());
     expect(now?.isSuspect()).to.equal(false);
     expect(now?.total()).to.equal(0);
     expect(now?.costOfNext()).to.equal(1 / first.slots);
-    directory.notePace({ host: first.host, port: first.port, startedAt: 1_000, pace: 9 });
+    directory.recordSlowdown({ host: first.host, port: first.port, startedAt: 1_000, pace: 9 });
     expect(now?.costOfNext()).to.equal(1 / first.slots);
   });
 
-  // A heartbeat of the earlier start was under way for long and lands after the later start's. Taken
-  // for news it would mark a sound upstream as leaving.
-  it('are not changed by a late word of the earlier start', () => {
-    const { take, chosen, metrics } = start();
-    take(first);
-    take(again);
-    take({ ...first, state: 'draining', sequence: 12 });
-    expect(chosen()).to.include({ startedAt: 2_000, state: 'ready' });
+  // A heartbeat of the earlier start is delayed and arrives after one of the later start. If it were applied, a
+  // healthy upstream would be marked as leaving.
+  it('ignores a late heartbeat of the earlier start', () => {
+    const { putRecord, selected, metrics } = createTestDirectory();
+    putRecord(first);
+    putRecord(restarted);
+    putRecord({ ...first, state: 'draining', sequence: 12 });
+    expect(selected()).to.include({ startedAt: 2_000, state: 'ready' });
     expect(metrics.exposition()).to.contain('gateway_outdated_entries');
   });
 
-  // The upstream left and its entry is gone; a heartbeat that it sent before lands last and would
-  // bring it back to life for the three intervals until it lapses.
-  it('are not brought back by a late word after they have left', () => {
-    const { directory, take, chosen } = start();
-    take(first);
-    take({ ...first, state: 'draining', sequence: 10 });
+  // An upstream has left and its entry is removed; a heartbeat that it sent before arrives last. If it were applied,
+  // the upstream would be listed until that entry lapses, three intervals later.
+  it('is not listed again by a late heartbeat after it has left', () => {
+    const { directory, putRecord, selected } = createTestDirectory();
+    putRecord(first);
+    putRecord({ ...first, state: 'draining', sequence: 10 });
     directory.apply({ key: 'a', value: undefined });
-    take(first);
-    expect(chosen()).to.equal(undefined);
-    take(again);
-    expect(chosen()).to.include({ startedAt: 2_000 });
+    putRecord(first);
+    expect(selected()).to.equal(undefined);
+    putRecord(restarted);
+    expect(selected()).to.include({ startedAt: 2_000 });
   });
 });
 
-describe('upstreams whose entry was removed', () => {
-  // The platform's log is restored from a copy from before an upstream crashed. Its entry is in the list again, and
-  // stands there until it lapses once more; at its address it would hide the upstream that has taken its place.
-  it('are not brought back by the entry that a restored log hands out again', () => {
-    const { directory, take, chosen } = start();
-    take(first);
+describe('an upstream whose entry was removed', () => {
+  // The platform's log is restored from a copy from before an upstream crashed. Its entry is in the list again until it
+  // lapses once more, and would hide the upstream that is now at its address.
+  it('is not listed again by its old entry in a restored log', () => {
+    const { directory, putRecord, selected } = createTestDirectory();
+    putRecord(first);
     directory.apply({ key: 'a', value: undefined });
-    take({ ...first, instance: 'b', sequence: 1 });
-    take(first);
-    expect(chosen()).to.include({ instance: 'b' });
-    take({ ...first, sequence: first.sequence - 2 });
-    expect(chosen()).to.include({ instance: 'b' });
+    putRecord({ ...first, instance: 'b', sequence: 1 });
+    putRecord(first);
+    expect(selected()).to.include({ instance: 'b' });
+    putRecord({ ...first, sequence: first.sequence - 2 });
+    expect(selected()).to.include({ instance: 'b' });
   });
 
-  // Its entry lapsed while the platform's log was away; it lives and writes again.
-  it('are used again with their next heartbeat', () => {
-    const { directory, take, chosen } = start();
-    take(first);
+  // The entry of a running upstream lapsed during an outage of the platform's log, and the upstream writes it again.
+  it('is used again after its next heartbeat', () => {
+    const { directory, putRecord, selected } = createTestDirectory();
+    putRecord(first);
     directory.apply({ key: 'a', value: undefined });
-    take({ ...first, sequence: first.sequence + 5 });
-    expect(chosen()).to.include({ instance: 'a' });
+    putRecord({ ...first, sequence: first.sequence + 5 });
+    expect(selected()).to.include({ instance: 'a' });
   });
 });
 
-describe('upstreams at one address', () => {
+describe('instances at the same address', () => {
   const next: UpstreamRecord = { ...first, instance: 'b' };
 
-  // All upstreams lost power and are new instances at their old addresses; the old entries stand for
-  // seconds. Half of all attempts went to instances that are gone, and spent the budget.
-  it('are taken for one, the one that was listed last', () => {
-    const { directory, take, chosen } = start();
-    take(first);
-    take(next);
-    take({ ...first, sequence: 10 });
-    expect(chosen()).to.include({ instance: 'b' });
+  // After a power failure all upstreams are new instances at their old addresses, and the old entries stay listed for
+  // some seconds. Without this rule half of all attempts went to exited instances and used up the retry budget.
+  it('count as one upstream, the one that was listed last', () => {
+    const { directory, putRecord, selected } = createTestDirectory();
+    putRecord(first);
+    putRecord(next);
+    putRecord({ ...first, sequence: 10 });
+    expect(selected()).to.include({ instance: 'b' });
     expect(directory.usable('s')).to.have.length(1);
   });
 
-  // Somebody else lists an instance at a sound upstream's address. The first answer tells that it
-  // isn't there, and the sound one serves on.
-  it('serve on when the last one turns out not to be there', () => {
-    const { directory, take, chosen } = start();
-    take(first);
-    take(next);
-    const upstream = directory.choose('s', new Set());
-    if (upstream) directory.noteReplaced(upstream);
-    expect(chosen()).to.include({ instance: 'a' });
+  // An invented entry has the address of a running upstream. The first response shows that this instance is not
+  // there, and the running one must be used again.
+  it('leave the earlier one in use if the last one is not there', () => {
+    const { directory, putRecord, selected } = createTestDirectory();
+    putRecord(first);
+    putRecord(next);
+    const upstream = directory.select('s', new Set());
+    if (upstream) directory.recordReplaced(upstream);
+    expect(selected()).to.include({ instance: 'a' });
   });
 });
 
-describe('entries by another writer', () => {
-  // Somebody else writes under the key of a sound upstream and under new ones. The upstream goes on
-  // being used, nothing new is, and the log isn't flooded by an entry that is read again and again.
-  it('name no upstream, change nothing that is known, are logged once and counted', () => {
-    const { put, take, chosen, directory, events, metrics } = start();
-    take(first);
+describe('invalid entries', () => {
+  // Another process writes invalid values under the key of a healthy upstream and under new keys. The upstream must
+  // stay in use, no new one may be added, and an entry that is read repeatedly must not flood the log.
+  it('change nothing that is known, are logged once and counted', () => {
+    const { put, putRecord, selected, directory, events, metrics } = createTestDirectory();
+    putRecord(first);
     [1, 2, 3].forEach(() => put('a', 'nonsense'));
     put('b', 'nonsense');
-    expect(chosen()).to.include({ instance: 'a' });
+    expect(selected()).to.include({ instance: 'a' });
     expect(directory.all()).to.have.length(1);
     expect(events.filter(([name]) => name === 'upstream-entry-foreign')).to.have.length(2);
     expect(metrics.exposition()).to.match(/gateway_foreign_entries(_total)?\{fault="bytes"\} 4/);
   });
 
-  it('are logged no more often than a bound, whatever they hold', () => {
-    const { put, events } = start();
+  it('are logged a limited number of times, whatever their content', () => {
+    const { put, events } = createTestDirectory();
     for (let n = 0; n < 1_000; n += 1) put('a', `nonsense ${n}`);
     expect(events).to.have.length(256);
   });
--- a/packages/gateway/test/events.test.ts
+++ b/packages/gateway/test/events.test.ts
@@ -8,14 +8,14 @@
   return { events, pending: splitter.pending() };
 };
 
-const cutAt = (bytes: Buffer, cuts: readonly number[]): Buffer[] => {
+const splitAt = (bytes: Buffer, cuts: readonly number[]): Buffer[] => {
   const sorted = [...new Set(cuts.map((cut) => cut % (bytes.length + 1)))].sort((a, b) => a - b);
   const ends = [...sorted, bytes.length];
   return ends.map((end, at) => bytes.subarray(ends[at - 1] ?? 0, end));
 };
 
 describe('event splitter', () => {
-  it('reads ids and keeps the bytes as they came', () => {
+  it('reads ids and keeps the bytes unchanged', () => {
     const text = 'id: 7\ndata: a\n\ndata: b\r\n\r\nid:8\ndata: cut';
     const { events, pending } = split([Buffer.from(text)]);
     expect(events.map(({ id, bytes }) => [id, bytes.toString()])).to.deep.equal([
@@ -25,9 +25,9 @@
     expect(pending).to.equal('id:8\ndata: cut'.length);
   });
 
-  // Whatever the network does to a stream's pieces, the events are the same, and what is not whole
-  // is never passed on.
-  it('finds the same events however the bytes are cut', () => {
+  // The network may split a stream anywhere: the events must be the same, and an incomplete event must not be
+  // returned.
+  it('finds the same events however the bytes are split', () => {
     const line = fc.stringMatching(/^[a-z:0-9 ]{0,12}$/);
     const event = fc
       .tuple(fc.nat(99), fc.array(line, { maxLength: 3 }))
@@ -35,11 +35,11 @@
     fc.assert(
       fc.property(fc.array(event), fc.string(), fc.array(fc.nat()), (events, rest, cuts) => {
         const bytes = Buffer.from(events.join('') + rest);
-        const whole = split([bytes]);
-        const pieces = split(cutAt(bytes, cuts));
-        expect(pieces).to.deep.equal(whole);
-        const passed = Buffer.concat(whole.events.map((one) => one.bytes));
-        expect(passed.length + whole.pending).to.equal(bytes.length);
+        const expected = split([bytes]);
+        const pieces = split(splitAt(bytes, cuts));
+        expect(pieces).to.deep.equal(expected);
+        const returned = Buffer.concat(expected.events.map((found) => found.bytes));
+        expect(returned.length + expected.pending).to.equal(bytes.length);
       }),
       { seed: 5, numRuns: 300 },
     );
--- a/packages/gateway/test/exchange.test.ts
+++ b/packages/gateway/test/exchange.test.ts
@@ -5,7 +5,7 @@
 import { startExchange } from '../src/attempts/exchange.js';
 import type { Exchange, HeadOutcome } from '../src/attempts/exchange.js';
 
-/** A server that does as told with each connection, once a request's head has come. */
+/** Starts a server that calls `act` for each connection once data has been received. */
 const serveOnce = async (
   act: (socket: Socket) => void,
 ): Promise<{ server: Server; port: number }> => {
@@ -19,7 +19,7 @@
   return { server, port: (server.address() as AddressInfo).port };
 };
 
-const ask = (port: number, connectMs = 1_000): Exchange =>
+const send = (port: number, connectTimeoutMs = 1_000): Exchange =>
   startExchange(
     {
       host: '127.0.0.1',
@@ -28,7 +28,7 @@
       path: '/a',
       headers: ['Host', 'h', 'Connection', 'close'],
       body: new Uint8Array(),
-      connectMs,
+      connectTimeoutMs,
     },
     systemClock,
   );
@@ -40,7 +40,7 @@
 
 const read = async (act: (socket: Socket) => void): Promise<string | undefined> => {
   const { server, port } = await serveOnce(act);
-  const exchange = ask(port);
+  const exchange = send(port);
   const body = await exchange.readBody(resOf(await exchange.head), 1_000);
   exchange.abort();
   server.close();
@@ -50,15 +50,15 @@
 const HEAD_WITHOUT_LENGTH = 'HTTP/1.1 200 OK\r\n\r\n';
 
 describe('exchange', () => {
-  it('takes a body without a length that ends with its connection', async () => {
+  it('accepts a body without a length that ends with its connection', async () => {
     const body = await read((socket) => socket.end(`${HEAD_WITHOUT_LENGTH}whole`));
     expect(body).to.equal('whole');
   });
 
-  // The caller would get a short body that looks complete. An upstream sends an answer without a
-  // length, crashes in its middle, and its connection is reset. Node's parser ends the message on the
-  // reset as it does on a clean end, and marks it as complete.
-  it('does not take a body without a length whose connection is reset', async () => {
+  // Guards against a truncated body that looks complete: an upstream crashes while it sends a response without a
+  // length, and its connection is reset. Node's parser accepts the reset like a clean end, and marks the message as
+  // complete.
+  it('rejects a body without a length whose connection is reset', async () => {
     const body = await read((socket) => {
       socket.write(`${HEAD_WITHOUT_LENGTH}cut`, () => {
         setTimeout(() => socket.resetAndDestroy(), 20);
@@ -67,36 +67,36 @@
     expect(body).to.equal(undefined);
   });
 
-  it('does not take a body that is shorter than its length', async () => {
+  it('rejects a body that is shorter than its length', async () => {
     const body = await read((socket) =>
       socket.end('HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort'),
     );
     expect(body).to.equal(undefined);
   });
 
-  // The caller may be told that nothing ran: the port has no listener, so no byte of the request
-  // can have reached an upstream.
-  it('says that nothing was sent when no connection came about', async () => {
+  // The port has no listener, so no byte of the request can have reached an upstream, and the caller may be told that
+  // nothing ran.
+  it('reports that nothing was sent when no connection was established', async () => {
     const { server, port } = await serveOnce(() => {});
     await new Promise((resolve) => {
       server.close(resolve);
     });
-    const head = await ask(port).head;
+    const head = await send(port).head;
     expect(head).to.deep.equal({ outcome: 'not-sent', why: 'ECONNREFUSED' });
   });
 
-  // The caller must not be told that nothing ran: the upstream has read the request, and its
-  // connection is reset before any answer.
-  it('says that the outcome is unknown when the connection is reset after the request', async () => {
+  // The upstream has read the request, and the connection is reset before any response: the caller must not be told
+  // that nothing ran.
+  it('reports an unknown outcome when the connection is reset after the request', async () => {
     const { server, port } = await serveOnce((socket) => socket.resetAndDestroy());
-    const head = await ask(port).head;
+    const head = await send(port).head;
     server.close();
     expect(head.outcome).to.equal('unknown');
   });
 
-  it('treats bytes that are no answer as an unknown outcome', async () => {
+  it('reports an unknown outcome for bytes that are not a response', async () => {
     const { server, port } = await serveOnce((socket) => socket.end('nonsense\r\n\r\n'));
-    const head = await ask(port).head;
+    const head = await send(port).head;
     server.close();
     expect(head.outcome).to.equal('unknown');
   });
