--- a/packages/gateway/test/serving.test.ts
+++ b/packages/gateway/test/serving.test.ts
@@ -10,21 +10,21 @@
   startFakeUpstream,
 } from './support/fake-upstream.js';
 import type { Act } from './support/fake-upstream.js';
-import { runs, stream, unsafe, wait, withEntry } from './support/with-entry.js';
+import { runs, stream, unsafeRoute, wait, withEntry } from './support/with-entry.js';
 
 describe('serving a request', () => {
-  it('passes method, path, body and answer on unchanged', async () => {
+  it('forwards method, path, body and response unchanged', async () => {
     await withEntry([answerOk('hello')], {}, async (entry, [upstream]) => {
-      const answer = await entry.ask({ 'x-extra': 'e' }, '/p/x?y=1', 'body');
-      expect(answer).to.include({ status: 200, body: 'hello', isWhole: true });
-      expect(answer.headers['x-receipt']).to.equal('r');
+      const response = await entry.ask({ 'x-extra': 'e' }, '/p/x?y=1', 'body');
+      expect(response).to.include({ status: 200, body: 'hello', isComplete: true });
+      expect(response.headers['x-receipt']).to.equal('r');
       const [seen] = upstream?.seen ?? [];
       expect(seen).to.include({ method: 'POST', path: '/p/x?y=1', body: 'body' });
       expect(seen?.headers).to.include({ 'x-extra': 'e', 'x-instance': 'i0' });
     });
   });
 
-  it('gives the upstream no more time than the caller and the route have', async () => {
+  it('limits the time of the upstream to that of the caller and of the route', async () => {
     await withEntry([answerOk()], {}, async (entry, [upstream]) => {
       await entry.ask({ 'x-wait': '300' });
       await entry.ask({ 'x-wait': '90000' });
@@ -34,139 +34,146 @@
     });
   });
 
-  // The caller gets its answer although the first upstream refused: that one says itself that it
-  // did not run the request, so another may.
-  it('sends a refused request to another upstream', async () => {
+  // The upstream that refuses states that it has not run the request, so another one may run it, and the caller gets a
+  // response.
+  it('retries a refused request at another upstream', async () => {
     await withEntry([refuseUnrun, answerOk()], { route: { maxAttempts: 2 } }, async (entry) => {
-      const answers = [await entry.ask(), await entry.ask(), await entry.ask()];
-      expect(answers.map(({ status }) => status)).to.deep.equal([200, 200, 200]);
+      const responses = [await entry.ask(), await entry.ask(), await entry.ask()];
+      expect(responses.map(({ status }) => status)).to.deep.equal([200, 200, 200]);
     });
   });
 
-  // A doubled export. The upstream has read the request and its connection is reset: it may have
-  // run. The caller gets a status that promises nothing, and no upstream sees the request again.
-  it('never sends a request that may have run again if it may not repeat', async () => {
-    const acts = [resetConnection, resetConnection];
-    await withEntry(acts, { route: { ...unsafe, maxAttempts: 2 } }, async (entry, upstreams) => {
-      const answer = await entry.ask({}, '/p/x', 'export');
-      expect(answer.status).to.equal(502);
-      expect(answer.headers['retry-after']).to.equal(undefined);
-      expect(runs(upstreams)).to.equal(1);
-    });
+  // Guards against running the same work twice. The upstream has read the request when its connection is reset, so it
+  // may have run. No upstream may get the request again, and the status must not invite the caller to retry.
+  it('never retries a request that may have run and must not be repeated', async () => {
+    const handlers = [resetConnection, resetConnection];
+    await withEntry(
+      handlers,
+      { route: { ...unsafeRoute, maxAttempts: 2 } },
+      async (entry, upstreams) => {
+        const response = await entry.ask({}, '/p/x', 'export');
+        expect(response.status).to.equal(502);
+        expect(response.headers['retry-after']).to.equal(undefined);
+        expect(runs(upstreams)).to.equal(1);
+      },
+    );
   });
 
-  // The same with a 503 that lacks the upstream's word that it did not run: passed on as it is, the
-  // caller would come back and the work would be done twice.
-  it('does not pass on a bare 503 for a request that may not repeat', async () => {
-    const bare: Act = (req, res) => res.writeHead(503, soundHeaders(req)).end();
-    await withEntry([bare], { route: unsafe }, async (entry, upstreams) => {
-      const answer = await entry.ask({}, '/p/x', 'export');
-      expect(answer.status).to.equal(502);
+  // A 503 without the upstream's statement that the request has not run: if it were forwarded, the caller would retry
+  // and the work could be done twice.
+  it('does not forward a 503 that does not prove that the request has not run', async () => {
+    const incomplete: Act = (req, res) => res.writeHead(503, soundHeaders(req)).end();
+    await withEntry([incomplete], { route: unsafeRoute }, async (entry, upstreams) => {
+      const response = await entry.ask({}, '/p/x', 'export');
+      expect(response.status).to.equal(502);
       expect(runs(upstreams)).to.equal(1);
     });
   });
 
-  it('sends a safe request again after a reset, and after a failure of the upstream', async () => {
+  it('retries a safe request after a connection reset and after an error of the upstream', async () => {
     const failing: Act = (req, res) => res.writeHead(500, soundHeaders(req)).end('no');
     await withEntry([resetConnection, answerOk()], {}, async (entry) => {
       expect((await entry.ask()).status).to.equal(200);
       expect((await entry.ask()).status).to.equal(200);
     });
     await withEntry([failing, failing], {}, async (entry, upstreams) => {
-      const answer = await entry.ask();
-      expect(answer).to.include({ status: 500, body: 'no' });
+      const response = await entry.ask();
+      expect(response).to.include({ status: 500, body: 'no' });
       expect(runs(upstreams)).to.equal(2);
     });
   });
 
-  // An upstream is gone and its port has no listener. Nothing was sent, so even a request that may
-  // not repeat goes to another upstream, and with none left the caller is told that nothing ran.
-  it('goes on to another upstream when no connection came about', async () => {
-    const gone = await startFakeUpstream(answerOk());
-    await gone.close();
-    const live = await startFakeUpstream(answerOk());
-    const entry = await startEntry({ upstreams: [gone, live], route: unsafe });
-    const answers = [await entry.ask({}, '/p/x', 'a'), await entry.ask({}, '/p/x', 'b')];
-    expect(answers.map(({ status }) => status)).to.deep.equal([200, 200]);
-    await live.close();
+  // An upstream has exited and its port has no listener. Nothing was sent, so even a request that must not be repeated
+  // is sent to another upstream, and if there is none left the caller is told that nothing ran.
+  it('retries at another upstream when no connection was established', async () => {
+    const exited = await startFakeUpstream(answerOk());
+    await exited.close();
+    const running = await startFakeUpstream(answerOk());
+    const entry = await startEntry({ upstreams: [exited, running], route: unsafeRoute });
+    const responses = [await entry.ask({}, '/p/x', 'a'), await entry.ask({}, '/p/x', 'b')];
+    expect(responses.map(({ status }) => status)).to.deep.equal([200, 200]);
+    await running.close();
     const refused = await entry.ask({}, '/p/x', 'c');
     expect(refused.status).to.equal(503);
     expect(Number(refused.headers['retry-after'])).to.be.above(0);
     await entry.close();
   });
 
-  // An answer that another request was due: an upstream sends it late, on the connection on which
-  // this one waits. The caller must not see it.
-  it('does not pass on the answer to another request', async () => {
-    const crossed: Act = (_, res) =>
+  // An upstream sends the late response to another request on the connection of this one. The caller must not get it.
+  it('does not forward the response to another request', async () => {
+    const wrongResponse: Act = (_, res) =>
       res.writeHead(200, { 'x-id': 'other', 'x-receipt': 'r' }).end('x');
-    await withEntry([crossed], { route: unsafe }, async (entry) => {
-      const answer = await entry.ask({}, '/p/x', 'a');
-      expect(answer.status).to.equal(502);
-      expect(answer.body).not.to.equal('x');
+    await withEntry([wrongResponse], { route: unsafeRoute }, async (entry) => {
+      const response = await entry.ask({}, '/p/x', 'a');
+      expect(response.status).to.equal(502);
+      expect(response.body).not.to.equal('x');
     });
   });
 
-  it('does not take a success without a receipt', async () => {
-    const bare: Act = (req, res) =>
+  it('rejects a successful response without a receipt', async () => {
+    const incomplete: Act = (req, res) =>
       res.writeHead(200, { 'x-id': String(req.headers['x-id']) }).end();
-    await withEntry([bare], { route: unsafe }, async (entry) => {
+    await withEntry([incomplete], { route: unsafeRoute }, async (entry) => {
       expect((await entry.ask({}, '/p/x', 'a')).status).to.equal(502);
     });
   });
 
-  it('ends at the time limit, and the upstream sees it end', async () => {
-    await withEntry([() => {}], { route: { ...unsafe, timeoutMs: 200 } }, async (entry, [up]) => {
-      const answer = await entry.ask({}, '/p/x', 'a');
-      expect(answer.status).to.equal(504);
-      expect(answer.ms).to.be.within(150, 600);
-      await wait(100);
-      expect(up?.brokenOff()).to.equal(1);
-    });
+  it('ends at the timeout, and closes the connection to the upstream', async () => {
+    await withEntry(
+      [() => {}],
+      { route: { ...unsafeRoute, timeoutMs: 200 } },
+      async (entry, [upstream]) => {
+        const response = await entry.ask({}, '/p/x', 'a');
+        expect(response.status).to.equal(504);
+        expect(response.ms).to.be.within(150, 600);
+        await wait(100);
+        expect(upstream?.abortedRequests()).to.equal(1);
+      },
+    );
   });
 
-  // A timer of the attempt ran out just before that of the caller's time, and the caller was told
-  // of a failed upstream.
-  it('is told as late when the time limit ends its only attempt', async () => {
-    let looks = 0;
+  // If the attempt had a timeout of its own that ended just before the request's deadline, the caller would get the
+  // status of a failed upstream. The clock advances with each read to bring this about.
+  it('responds with 504 when the timeout ends the only attempt', async () => {
+    let reads = 0;
     const clock = {
       ...systemClock,
       monotonic: () => {
-        looks += 1;
-        return systemClock.monotonic() + looks;
+        reads += 1;
+        return systemClock.monotonic() + reads;
       },
     };
-    const route = { ...unsafe, timeoutMs: 200 };
+    const route = { ...unsafeRoute, timeoutMs: 200 };
     await withEntry([() => {}], { route, clock }, async (entry) => {
       expect((await entry.ask({}, '/p/x', 'a')).status).to.equal(504);
     });
   });
 
-  // The upstream would work for nobody. The caller leaves in the middle; the upstream's connection
-  // is closed, and no other upstream gets the request.
-  it('cancels at the upstream when the caller leaves', async () => {
+  // The caller disconnects while the upstream works on its request: the connection to the upstream must be closed, and
+  // no other upstream may get the request.
+  it('cancels the request at the upstream when the caller disconnects', async () => {
     await withEntry([() => {}, () => {}], {}, async (entry, upstreams) => {
       await entry.ask({}, '/p/x', '', 60);
       await wait(200);
-      expect(upstreams.reduce((sum, up) => sum + up.brokenOff(), 0)).to.equal(1);
+      expect(upstreams.reduce((sum, upstream) => sum + upstream.abortedRequests(), 0)).to.equal(1);
       expect(runs(upstreams)).to.equal(1);
     });
   });
 
-  it('stops retrying when the budget is spent, and says that nothing ran', async () => {
-    const acts = [refuseUnrun, refuseUnrun];
-    await withEntry(acts, { retryAllowance: 0 }, async (entry, upstreams) => {
-      const answer = await entry.ask();
-      expect(answer.status).to.equal(503);
+  it('stops retrying when the retry budget is used up, and says that nothing ran', async () => {
+    const handlers = [refuseUnrun, refuseUnrun];
+    await withEntry(handlers, { retryAllowance: 0 }, async (entry, upstreams) => {
+      const response = await entry.ask();
+      expect(response.status).to.equal(503);
       expect(runs(upstreams)).to.equal(1);
     });
   });
 });
 
-describe('connections that an upstream accepts from all entries', () => {
-  // One upstream holds its only connection, the other one can't be reached. Sent on to the first one, the request
-  // would be reset there, and nobody could tell whether it ran.
-  it('are not exceeded by an attempt that follows another one', async () => {
+describe('the connection limit of an upstream', () => {
+  // One upstream has its only connection in use, the other one can't be reached. If the request were retried at the
+  // first one, its connection would be reset there, and it would be unknown whether it ran.
+  it('is not exceeded by a retry', async () => {
     const services = [{ name: 's', maxConnections: 1, engine: undefined }];
     await withEntry(
       [answerOk(), answerOk()],
@@ -187,20 +194,20 @@
   });
 });
 
-describe('turning a request away', () => {
+describe('refusing a request', () => {
   const rows: [string, Omit<EntryOptions, 'upstreams'>, string, number][] = [
     ['without an intent: 503', { withoutIntent: true }, '/p/x', 503],
     ['an unknown path: 404', {}, '/q/x', 404],
-    ['an unknown path with an outdated intent: 503', { intentAge: 5_000 }, '/q/x', 503],
+    ['an unknown path with an outdated intent: 503', { intentAgeMs: 5_000 }, '/q/x', 503],
     [
-      'a key that nobody holds: 401',
+      'an unknown API key: 401',
       { route: { anonymous: false }, intent: { organisations: [] } },
       '/p/x',
       401,
     ],
     [
-      'a key that nobody holds with an outdated intent: 503',
-      { route: { anonymous: false }, intent: { organisations: [] }, intentAge: 5_000 },
+      'an unknown API key with an outdated intent: 503',
+      { route: { anonymous: false }, intent: { organisations: [] }, intentAgeMs: 5_000 },
       '/p/x',
       503,
     ],
@@ -208,21 +215,21 @@
   rows.forEach(([title, options, path, status]) => {
     it(title, async () => {
       await withEntry([answerOk()], options, async (entry, upstreams) => {
-        const answer = await entry.ask({}, path);
-        expect(answer.status).to.equal(status);
-        expect(answer.headers['retry-after'] !== undefined).to.equal(status === 503);
+        const response = await entry.ask({}, path);
+        expect(response.status).to.equal(status);
+        expect(response.headers['retry-after'] !== undefined).to.equal(status === 503);
         expect(runs(upstreams)).to.equal(0);
       });
     });
   });
 
-  // The entry's grace is nearly over. A request taken now would be cut in its middle, and the caller
-  // could not know whether it ran; told that it did not, it goes to another entry at once.
-  it('an entry that ends soon: 503, and nothing reaches an upstream', async () => {
+  // The grace period is nearly over. A request accepted now would be cut off, and the caller could not know whether it
+  // ran. If it is told that it did not run, it retries at another entry at once.
+  it('an entry that exits soon: 503, and nothing reaches an upstream', async () => {
     await withEntry([answerOk()], { isClosing: true }, async (entry, upstreams) => {
-      const answer = await entry.ask();
-      expect(answer).to.include({ status: 503, body: 'stopping\n' });
-      expect(Number(answer.headers['retry-after'])).to.be.below(0.3);
+      const response = await entry.ask();
+      expect(response).to.include({ status: 503, body: 'stopping\n' });
+      expect(Number(response.headers['retry-after'])).to.be.below(0.3);
       expect(runs(upstreams)).to.equal(0);
     });
   });
@@ -234,7 +241,7 @@
     });
   });
 
-  it('names the organisation of a key and keeps the key to itself', async () => {
+  it('sends the organisation of an API key to the upstream, but not the key', async () => {
     const organisations = [{ name: 'o', apiKeys: ['k'], priority: undefined }];
     const options = { route: { anonymous: false }, intent: { organisations } };
     await withEntry([answerOk()], options, async (entry, [upstream]) => {
@@ -245,47 +252,50 @@
   });
 });
 
-describe('answers and refusals that mislead', () => {
-  // The caller would take a short body for whole. An upstream crashes in the middle of an answer
-  // without a length and its connection ends cleanly; with a length added here nothing would tell.
-  it('does not put a length on an answer that had none', async () => {
+describe('misleading responses and refusals', () => {
+  // Guards against a truncated body that looks complete: an upstream crashes while it sends a response without a
+  // length, and its connection ends cleanly. A length added by the entry would hide that.
+  it('does not add a length to a response that had none', async () => {
     const unframed: Act = (req, res) => {
       res.removeHeader('Transfer-Encoding');
       res.writeHead(200, { ...soundHeaders(req), connection: 'close' }).end('as far as it came');
     };
-    await withEntry([unframed], { route: unsafe }, async (entry) => {
-      const answer = await entry.ask({}, '/p/x', 'a');
-      expect(answer).to.include({ status: 200, body: 'as far as it came' });
-      expect(answer.headers).to.not.have.any.keys('content-length', 'transfer-encoding');
-      expect(answer.headers.connection).to.equal('close');
+    await withEntry([unframed], { route: unsafeRoute }, async (entry) => {
+      const response = await entry.ask({}, '/p/x', 'a');
+      expect(response).to.include({ status: 200, body: 'as far as it came' });
+      expect(response.headers).to.not.have.any.keys('content-length', 'transfer-encoding');
+      expect(response.headers.connection).to.equal('close');
     });
   });
 
-  // After a loss of power all upstreams are new instances, and their old entries stand for seconds.
-  // Each old one is asked once; without that every request spends the budget on several of them.
-  it('does not ask an instance again whose address another one has', async () => {
+  // After a power failure all upstreams are new instances, and their old entries stay listed for some seconds. Each of
+  // these is tried once at most; otherwise every request would use up the retry budget on several of them.
+  it('does not retry an instance whose address another one has taken', async () => {
     const other: Act = (_, res) => res.writeHead(421).end();
-    await withEntry([other, answerOk()], { route: { maxAttempts: 3 } }, async (entry, ups) => {
-      for (let n = 0; n < 6; n += 1) expect((await entry.ask()).status).to.equal(200);
-      expect(ups[0]?.seen.length).to.be.at.most(1);
-    });
+    await withEntry(
+      [other, answerOk()],
+      { route: { maxAttempts: 3 } },
+      async (entry, upstreams) => {
+        for (let n = 0; n < 6; n += 1) expect((await entry.ask()).status).to.equal(200);
+        expect(upstreams[0]?.seen.length).to.be.at.most(1);
+      },
+    );
   });
 
-  // A group forms anew and every rank refuses, for longer than callers can wait. One of them asks in
-  // turn for all, and all are refused with a time to come back; the budget is left for what can
-  // succeed.
-  it('asks for one caller at a time when most upstreams of a service refuse', async () => {
-    const acts = Array.from({ length: 6 }, () => refuseUnrun);
+  // A group re-forms and every rank refuses, for longer than callers can wait. One request at a time probes the service
+  // for all, and all are refused with a retry delay, so that the retry budget is left for requests that can succeed.
+  it('probes for one caller at a time when most upstreams of a service refuse', async () => {
+    const handlers = Array.from({ length: 6 }, () => refuseUnrun);
     const route = { ...stream, maxAttempts: 2, timeoutMs: 3_000 };
-    await withEntry(acts, { route }, async (entry, upstreams) => {
+    await withEntry(handlers, { route }, async (entry, upstreams) => {
       await Promise.all([1, 2, 3, 4].map(() => entry.ask()));
       const before = runs(upstreams);
-      const answers = await Promise.all(Array.from({ length: 12 }, () => entry.ask()));
+      const responses = await Promise.all(Array.from({ length: 12 }, () => entry.ask()));
       expect(runs(upstreams) - before).to.be.at.most(12);
-      answers.forEach(({ status, headers, ms }) => {
+      responses.forEach(({ status, headers, ms }) => {
         expect(status).to.equal(503);
         expect(ms).to.be.below(1_500);
-        // A group takes 600 ms to form; a caller that comes back once must not come before.
+        // A group takes 600 ms to re-form; callers retry once, and must not do so before.
         expect(Number(headers['retry-after'])).to.be.above(0.6);
       });
     });
--- a/packages/gateway/test/slow-upstreams.test.ts
+++ b/packages/gateway/test/slow-upstreams.test.ts
@@ -1,45 +1,46 @@
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { createManualClock } from '@plantaindrum/common';
-import { createPaceRecord } from '../src/upstreams/pace-record.js';
-import { usedPace } from '../src/upstreams/slow-upstreams.js';
-import type { PacedUpstream } from '../src/upstreams/slow-upstreams.js';
+import { createSlowdownTracker } from '../src/upstreams/pace-record.js';
+import { maxUsedSlowdown } from '../src/upstreams/slow-upstreams.js';
+import type { UpstreamSlowdown } from '../src/upstreams/slow-upstreams.js';
 import { streamEvents } from './support/fake-upstream.js';
 import { eventsOf, runs, stream, wait, withEntry } from './support/with-entry.js';
 
-const group = (...paces: number[]): PacedUpstream[] => paces.map((pace) => ({ pace, slots: 8 }));
-const usual = (count: number): number[] => new Array<number>(count).fill(1);
+const group = (...slowdowns: number[]): UpstreamSlowdown[] =>
+  slowdowns.map((slowdown) => ({ slowdown, slots: 8 }));
+const baseline = (count: number): number[] => new Array<number>(count).fill(1);
 
-describe('doing without slow upstreams', () => {
-  // Each pass of the group waits for the slow rank while it has a stream, for 8 s. 62 streams fit on
-  // the eleven others, whose passes are then as short as before.
-  it('leaves one slow rank of twelve, very slow or slightly', () => {
-    [12, 1.6, 1.2].forEach((pace) => {
-      expect(usedPace(group(...usual(11), pace), 62)).to.equal(1);
+describe('excluding slow upstreams', () => {
+  // Each pass of the group waits for the slow rank as long as it has a stream, here 8 s. The 62 streams fit on the
+  // eleven other ranks, whose passes then take the normal time.
+  it('excludes one slow rank of twelve, whether it is very or slightly slow', () => {
+    [12, 1.6, 1.2].forEach((slowdown) => {
+      expect(maxUsedSlowdown(group(...baseline(11), slowdown), 62)).to.equal(1);
     });
   });
 
-  it('leaves two, and keeps them where the others have too few places', () => {
-    expect(usedPace(group(...usual(10), 3, 3), 62)).to.equal(1);
-    expect(usedPace(group(...usual(10), 1.2, 1.2), 96)).to.equal(1.2);
-    // 56 streams at a sixth of the time make more than 96.
-    expect(usedPace(group(...usual(7), ...new Array<number>(5).fill(6)), 96)).to.equal(1);
+  it('excludes two slow ranks, but keeps them if the others have too few slots', () => {
+    expect(maxUsedSlowdown(group(...baseline(10), 3, 3), 62)).to.equal(1);
+    expect(maxUsedSlowdown(group(...baseline(10), 1.2, 1.2), 96)).to.equal(1.2);
+    // 56 streams with passes of a sixth of the time have a higher throughput than 96.
+    expect(maxUsedSlowdown(group(...baseline(7), ...new Array<number>(5).fill(6)), 96)).to.equal(1);
   });
 
-  it('uses all when all are equally slow, and those that are less slow', () => {
-    expect(usedPace(group(4, 4, 4), 10)).to.equal(4);
-    expect(usedPace(group(4, 4, 4, 9), 10)).to.equal(4);
+  it('uses all if they are equally slow, and excludes one that is slower', () => {
+    expect(maxUsedSlowdown(group(4, 4, 4), 10)).to.equal(4);
+    expect(maxUsedSlowdown(group(4, 4, 4, 9), 10)).to.equal(4);
   });
 
-  // Whatever the paces: somebody is always left to send to.
-  it('never leaves all', () => {
+  // Whatever the slowdowns, at least one upstream must remain.
+  it('never excludes all', () => {
     fc.assert(
       fc.property(
         fc.array(fc.double({ min: 1, max: 50, noNaN: true }), { minLength: 1, maxLength: 30 }),
         fc.nat(400),
-        (paces, requests) => {
-          const most = usedPace(group(...paces), requests);
-          expect(paces.some((pace) => pace <= most)).to.equal(true);
+        (slowdowns, requests) => {
+          const maxSlowdown = maxUsedSlowdown(group(...slowdowns), requests);
+          expect(slowdowns.some((slowdown) => slowdown <= maxSlowdown)).to.equal(true);
         },
       ),
       { seed: 5, numRuns: 300 },
@@ -47,106 +48,106 @@
   });
 });
 
-describe('the pace of an upstream', () => {
-  it('is trusted again some time after the first sound word', async () => {
+describe('slowdown tracker', () => {
+  it('reports a recovery some time after the first report of normal speed', async () => {
     const clock = createManualClock();
-    const record = createPaceRecord(clock);
-    record.note(6);
-    expect(record.pace()).to.equal(6);
+    const record = createSlowdownTracker(clock);
+    record.record(6);
+    expect(record.slowdown()).to.equal(6);
     await clock.advance(100);
-    record.note(1);
+    record.record(1);
     await clock.advance(499);
-    expect(record.pace()).to.equal(6);
+    expect(record.slowdown()).to.equal(6);
     await clock.advance(1);
-    expect(record.pace()).to.equal(1);
+    expect(record.slowdown()).to.equal(1);
   });
 
-  // A rank turns slow and sound by turns. Streams that went back at once would be late each time.
-  it('is trusted later each time that it turns slow again', async () => {
+  // A rank alternates between slow and normal speed. Streams that were sent there at once would be delayed each time.
+  it('doubles the trust delay each time that the upstream becomes slow again', async () => {
     const clock = createManualClock();
-    const record = createPaceRecord(clock);
+    const record = createSlowdownTracker(clock);
     const pauses: number[] = [];
-    for (let turn = 0; turn < 5; turn += 1) {
-      record.note(6);
+    for (let cycle = 0; cycle < 5; cycle += 1) {
+      record.record(6);
       await clock.advance(200);
-      record.note(1);
+      record.record(1);
       const soundAt = clock.monotonic();
-      while (record.pace() > 1) await clock.advance(50);
+      while (record.slowdown() > 1) await clock.advance(50);
       pauses.push(clock.monotonic() - soundAt);
     }
     expect(pauses).to.deep.equal([500, 1_000, 2_000, 4_000, 4_000]);
     await clock.advance(20_000);
-    record.note(6);
-    record.note(1);
+    record.record(6);
+    record.record(1);
     await clock.advance(500);
-    expect(record.pace()).to.equal(1);
+    expect(record.slowdown()).to.equal(1);
   });
 
-  it('is not believed for ever when the agent falls silent', async () => {
+  it('drops a slowdown when the agent stops reporting', async () => {
     const clock = createManualClock();
-    const record = createPaceRecord(clock);
-    record.note(6);
+    const record = createSlowdownTracker(clock);
+    record.record(6);
     await clock.advance(2_499);
-    expect(record.pace()).to.equal(6);
+    expect(record.slowdown()).to.equal(6);
     await clock.advance(1);
-    expect(record.pace()).to.equal(1);
+    expect(record.slowdown()).to.equal(1);
   });
 });
 
-describe('a stream at a rank that turns slow', () => {
+describe('a stream at a rank that becomes slow', () => {
   const slowDown = (entry: { directory: Directory }, port: number): void =>
-    entry.directory.notePace({ host: '127.0.0.1', port, startedAt: 0, pace: 8 });
+    entry.directory.recordSlowdown({ host: '127.0.0.1', port, startedAt: 0, pace: 8 });
   interface Directory {
-    notePace(pace: { host: string; port: number; startedAt: number; pace: number }): void;
+    recordSlowdown(report: { host: string; port: number; startedAt: number; pace: number }): void;
   }
 
-  // The stream is in its middle when its rank turns slow, which holds up the whole group. It goes on
-  // at another rank after its last event, within the same answer, and its rank's slot is free at once.
-  it('goes on at another rank, without a hole or a repeat', async () => {
-    const acts = [streamEvents([1, 2, 3], 'open'), streamEvents([1, 2, 3], 'open')];
-    await withEntry(acts, { route: stream }, async (entry, upstreams) => {
-      const asked = entry.ask();
+  // A rank becomes slow while it has a stream, which delays the whole group. The stream is resumed at another rank
+  // after its last event, within the same response, and the slot at the slow rank is freed at once.
+  it('is resumed at another rank, without missing or repeated events', async () => {
+    const handlers = [streamEvents([1, 2, 3], 'open'), streamEvents([1, 2, 3], 'open')];
+    await withEntry(handlers, { route: stream }, async (entry, upstreams) => {
+      const pending = entry.ask();
       while (runs(upstreams) === 0) await wait(5);
       await wait(30);
       const slow = upstreams.find(({ seen }) => seen.length === 1);
       const other = upstreams.find(({ seen }) => seen.length === 0);
       other?.act(streamEvents([3, 4, 5], 'whole'));
       slowDown(entry, slow?.port ?? 0);
-      const answer = await asked;
-      expect(eventsOf(answer.body)).to.deep.equal([1, 2, 3, 4, 5]);
-      expect(answer.isWhole).to.equal(true);
+      const response = await pending;
+      expect(eventsOf(response.body)).to.deep.equal([1, 2, 3, 4, 5]);
+      expect(response.isComplete).to.equal(true);
       expect(other?.seen[0]?.headers['x-after']).to.equal('3');
-      expect(slow?.brokenOff()).to.equal(1);
+      expect(slow?.abortedRequests()).to.equal(1);
     });
   });
 
-  // It can't be moved: its route may not resume, its attempts or the budget are used up, or nobody is
-  // quicker. It must go on where it is; given up, it would be lost.
-  it('stays where it is when it may not be sent again', async () => {
+  // A stream can't be moved if its route is not resumable, its attempts or the retry budget are used up, or no other
+  // upstream is faster. It must continue where it is: if its attempt were aborted, it would be lost.
+  it('stays at its rank if it must not be retried', async () => {
     const cases = [
       { route: { ...stream, resumable: false } },
       { route: { ...stream, maxAttempts: 1 } },
       { route: stream, retryAllowance: 0 },
     ];
     for (const options of cases) {
-      const acts = [streamEvents([1], 'open'), streamEvents([1], 'open')];
-      await withEntry(acts, options, async (entry, upstreams) => {
-        const asked = entry.ask({}, '/p/x', '', 400);
+      const handlers = [streamEvents([1], 'open'), streamEvents([1], 'open')];
+      await withEntry(handlers, options, async (entry, upstreams) => {
+        const pending = entry.ask({}, '/p/x', '', 400);
         while (runs(upstreams) === 0) await wait(5);
         await wait(30);
         const slow = upstreams.find(({ seen }) => seen.length === 1);
         slowDown(entry, slow?.port ?? 0);
         await wait(200);
-        expect(slow?.brokenOff()).to.equal(0);
+        expect(slow?.abortedRequests()).to.equal(0);
         expect(runs(upstreams)).to.equal(1);
-        await asked;
+        await pending;
       });
     }
   });
 
-  it('is not begun there while others are quick', async () => {
-    const acts = [streamEvents([1], 'whole'), streamEvents([1], 'whole')];
-    await withEntry(acts, { route: stream }, async (entry, upstreams) => {
+  it('is not started there while others are fast', async () => {
+    const handlers = [streamEvents([1], 'whole'), streamEvents([1], 'whole')];
+    await withEntry(handlers, { route: stream }, async (entry, upstreams) => {
       slowDown(entry, upstreams[0]?.port ?? 0);
       for (let n = 0; n < 5; n += 1) await entry.ask();
       expect(upstreams.map(({ seen }) => seen.length)).to.deep.equal([0, 5]);
--- a/packages/gateway/test/support/entry.ts
+++ b/packages/gateway/test/support/entry.ts
@@ -1,4 +1,4 @@
-/** One entry's request handling on loopback, before fake upstreams. */
+/** The request handling of one entry on loopback, with fake upstreams. */
 
 import { request, createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -12,7 +12,7 @@
 import type { Clock } from '@plantaindrum/common';
 import { createAdmission } from '../../src/admission/admission.js';
 import { createReopening } from '../../src/admission/reopening.js';
-import { createEndCheck, tryConnect } from '../../src/attempts/end-check.js';
+import { createExitCheck, tryConnect } from '../../src/attempts/exit-check.js';
 import type { Intent, Route, UpstreamRecord } from '../../src/index.js';
 import { createRouteTable } from '../../src/intent/route-table.js';
 import { createQuarantine } from '../../src/quarantine/index.js';
@@ -25,13 +25,13 @@
 import type { FakeUpstream } from './fake-upstream.js';
 import { testDialect } from './test-dialect.js';
 
-/** What a caller got. */
-export interface CallerAnswer {
+/** The response that a caller received. */
+export interface CallerResponse {
   status: number;
   headers: Record<string, string | string[] | undefined>;
   body: string;
-  /** The answer ended cleanly. */
-  isWhole: boolean;
+  /** Whether the response ended cleanly. */
+  isComplete: boolean;
   ms: number;
 }
 
@@ -41,19 +41,19 @@
   route?: Partial<Route>;
   intent?: Partial<Intent>;
   /** Milliseconds since the intent was confirmed. */
-  intentAge?: number;
+  intentAgeMs?: number;
   retryAllowance?: number;
   /** No intent has been read yet. */
   withoutIntent?: boolean;
-  /** The entry ends soon and takes nothing more. */
+  /** The entry exits soon and accepts no more requests. */
   isClosing?: boolean;
-  /** Takes what the entry tells others of requests that crash upstreams. */
-  tell?: (news: News) => void;
-  /** Takes what the entry tells others of limits that upstreams name. */
-  tellRates?: (news: RateNews) => void;
-  /** Takes what the entry writes to the platform of requests in quarantine. */
+  /** Called with what the entry broadcasts about requests that crash upstreams. */
+  onCrashUpdate?: (news: News) => void;
+  /** Called with what the entry broadcasts about rate limits of upstreams. */
+  onRateUpdate?: (news: RateNews) => void;
+  /** Called with what the entry writes to the platform about requests in quarantine. */
   publish?: (key: string, value: Uint8Array | undefined) => void;
-  /** Time and timers of the entry. */
+  /** Clock of the entry; the system clock by default. */
   clock?: Clock;
 }
 
@@ -74,14 +74,14 @@
 
 const encode = (fields: object): Uint8Array => Buffer.from(JSON.stringify(fields));
 
-/** Starts the handling of requests; `ask` makes one. */
+/** Starts the request handling; `ask` sends a request as a caller. */
 export const startEntry = async (options: EntryOptions) => {
   const clock = options.clock ?? systemClock;
   const random = createSeededRandom(3);
   const metrics = createMetrics();
   const log = silentEventLog;
   const quarantine = createQuarantine({
-    tell: (news) => options.tell?.(news),
+    tell: (news) => options.onCrashUpdate?.(news),
     publish: async (key, value) => {
       options.publish?.(key, value);
       return true;
@@ -90,13 +90,13 @@
     metrics,
     log,
   });
-  const checkEnd = createEndCheck<UpstreamRecord>(
+  const checkExit = createExitCheck<UpstreamRecord>(
     (upstream) => quarantine.noteEnded(upstream, 'refused-connection'),
     (host, at) => tryConnect(host, at, clock),
     clock,
   );
   const limits = { headerBytes: 8_192, bodyBytes: 1_000, headerTimeoutMs: 500, idleTimeoutMs: 500 };
-  const table = createRouteTable({
+  const routeTable = createRouteTable({
     version: 1,
     routes: [{ ...baseRoute, ...options.route }],
     services: [],
@@ -107,10 +107,10 @@
   const directory = createDirectory({
     decode: (key, value) => ok({ ...JSON.parse(Buffer.from(value).toString()), instance: key }),
     dataCentre: 'd',
-    onEnded: (upstream) => quarantine.noteEnded(upstream, 'started-again'),
-    maxConnections: (service) => table.service(service)?.maxConnections ?? Infinity,
-    linkedShare: () => 1,
-    logBackAt: () => -Infinity,
+    onExited: (upstream) => quarantine.noteEnded(upstream, 'started-again'),
+    maxConnections: (service) => routeTable.service(service)?.maxConnections ?? Infinity,
+    connectedFraction: () => 1,
+    logRecoveredAt: () => -Infinity,
     clock,
     random,
     metrics,
@@ -123,7 +123,7 @@
   });
   const rateLimits = createRateLimits({
     upstreams: directory.all,
-    tell: (news) => options.tellRates?.(news),
+    tell: (news) => options.onRateUpdate?.(news),
     metrics,
     log,
   });
@@ -149,11 +149,11 @@
     isClosing: () => options.isClosing ?? false,
     reopening: createReopening({ clock, metrics, log }),
     quarantine,
-    checkEnd,
+    checkExit,
     entries: () => 1,
-    untilIntent: async () => {},
-    table: () => (options.withoutIntent ? undefined : table),
-    intentAge: () => options.intentAge ?? 0,
+    waitForIntent: async () => {},
+    routeTable: () => (options.withoutIntent ? undefined : routeTable),
+    intentAgeMs: () => options.intentAgeMs ?? 0,
   });
   const server = createServer(handle);
   await new Promise<void>((resolve) => {
@@ -161,36 +161,49 @@
   });
   const { port } = server.address() as AddressInfo;
 
-  const ask = (
+  const send = (
     headers: Record<string, string> = {},
     path = '/p/x',
     body = '',
-    leaveAfterMs?: number,
-  ): Promise<CallerAnswer> =>
+    disconnectAfterMs?: number,
+  ): Promise<CallerResponse> =>
     new Promise((resolve) => {
       const startedAt = performance.now();
       const method = body === '' ? 'GET' : 'POST';
-      const all = { host: 'a.example', 'x-id': 'q1', ...headers };
-      const req = request({ host: '127.0.0.1', port, path, method, headers: all, agent: false });
-      const failed = { status: 0, headers: {}, body: '', isWhole: false };
+      const allHeaders = { host: 'a.example', 'x-id': 'q1', ...headers };
+      const req = request({
+        host: '127.0.0.1',
+        port,
+        path,
+        method,
+        headers: allHeaders,
+        agent: false,
+      });
+      const failure = { status: 0, headers: {}, body: '', isComplete: false };
       const ms = (): number => performance.now() - startedAt;
-      req.on('error', () => resolve({ ...failed, ms: ms() }));
+      req.on('error', () => resolve({ ...failure, ms: ms() }));
       req.on('response', (res) => {
         const chunks: Buffer[] = [];
         res.on('data', (chunk: Buffer) => chunks.push(chunk));
         res.on('error', () => {});
         res.on('close', () => {
           const text = Buffer.concat(chunks).toString();
-          const { statusCode = 0, headers: got, complete } = res;
-          resolve({ status: statusCode, headers: got, body: text, isWhole: complete, ms: ms() });
+          const { statusCode = 0, headers: responseHeaders, complete } = res;
+          resolve({
+            status: statusCode,
+            headers: responseHeaders,
+            body: text,
+            isComplete: complete,
+            ms: ms(),
+          });
         });
       });
       req.end(body);
-      if (leaveAfterMs !== undefined) setTimeout(() => req.destroy(), leaveAfterMs);
+      if (disconnectAfterMs !== undefined) setTimeout(() => req.destroy(), disconnectAfterMs);
     });
 
   return {
-    ask,
+    ask: send,
     metrics,
     directory,
     rateLimits,
--- a/packages/gateway/test/support/fake-upstream.ts
+++ b/packages/gateway/test/support/fake-upstream.ts
@@ -1,10 +1,10 @@
-/** An upstream on loopback that answers as each test tells it, request by request. */
+/** An upstream on loopback whose responses are set by each test. */
 
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 
-/** What one request met. */
+/** A request that the upstream has received. */
 export interface SeenRequest {
   method: string;
   path: string;
@@ -12,33 +12,34 @@
   body: string;
 }
 
-/** Acts on one request. */
+/** Handles one request. */
 export type Act = (req: SeenRequest, res: ServerResponse) => void;
 
-/** A running upstream. */
+/** A running fake upstream. */
 export interface FakeUpstream {
   port: number;
   seen: SeenRequest[];
-  /** Connections that ended before their answer was whole. */
-  brokenOff(): number;
+  /** Number of requests whose connection closed before the response was complete. */
+  abortedRequests(): number;
+  /** Replaces the handler. */
   act(next: Act): void;
   close(): Promise<void>;
 }
 
-/** Fields that a sound answer bears in the test dialect. */
+/** Header fields of a valid response in the test dialect. */
 export const soundHeaders = (req: SeenRequest): Record<string, string> => ({
   'x-id': String(req.headers['x-id']),
   'x-receipt': 'r',
 });
 
-/** Answers 200 with the request's id and a receipt. */
+/** Responds with 200, the request's id and a receipt. */
 export const answerOk =
   (body = 'ok'): Act =>
   (req, res) => {
     res.writeHead(200, soundHeaders(req)).end(body);
   };
 
-/** Refuses without running. */
+/** Refuses the request and states that it has not run. */
 export const refuseUnrun: Act = (_, res) => {
   res.writeHead(503, { 'x-not-run': '1' }).end();
 };
@@ -48,7 +49,7 @@
   res.socket?.resetAndDestroy();
 };
 
-/** Begins a stream and sends events with these ids; `end` closes it cleanly. */
+/** Starts a stream and sends events with these ids; `end` says whether it ends cleanly, is reset or stays open. */
 export const streamEvents =
   (ids: readonly number[], end: 'whole' | 'reset' | 'open'): Act =>
   (req, res) => {
@@ -64,21 +65,21 @@
   return Buffer.concat(chunks).toString();
 };
 
-/** Starts an upstream. */
+/** Starts a fake upstream. */
 export const startFakeUpstream = async (first: Act): Promise<FakeUpstream> => {
-  let act = first;
-  let brokenOff = 0;
+  let handler = first;
+  let abortedRequests = 0;
   const seen: SeenRequest[] = [];
   const server: Server = createServer((req, res) => {
     res.on('close', () => {
-      if (!res.writableFinished) brokenOff += 1;
+      if (!res.writableFinished) abortedRequests += 1;
     });
     void readAll(req).then(
       (body) => {
         const { method = '', url = '', headers } = req;
-        const one = { method, path: url, headers, body };
-        seen.push(one);
-        act(one, res);
+        const seenRequest = { method, path: url, headers, body };
+        seen.push(seenRequest);
+        handler(seenRequest, res);
       },
       () => {},
     );
@@ -89,9 +90,9 @@
   return {
     port: (server.address() as AddressInfo).port,
     seen,
-    brokenOff: () => brokenOff,
+    abortedRequests: () => abortedRequests,
     act: (next) => {
-      act = next;
+      handler = next;
     },
     close: () =>
       new Promise((resolve) => {
--- a/packages/gateway/test/support/test-dialect.ts
+++ b/packages/gateway/test/support/test-dialect.ts
@@ -6,7 +6,7 @@
 const number = (value: string | string[] | undefined): number | undefined =>
   value === undefined ? undefined : Number(first(value));
 
-/** Plain header names, so that the gateway's tests need no adapter. */
+/** A dialect with plain header names, so that the gateway's tests need no platform adapter. */
 export const testDialect: HeaderDialect = {
   readCaller: (headers) => ({
     requestId: first(headers['x-id']),
--- a/packages/gateway/test/support/with-entry.ts
+++ b/packages/gateway/test/support/with-entry.ts
@@ -1,4 +1,4 @@
-/** An entry and its fake upstreams for the time of one test. */
+/** Runs a test with an entry and fake upstreams, and closes them afterwards. */
 
 import { startEntry } from './entry.js';
 import type { EntryOptions } from './entry.js';
@@ -8,7 +8,7 @@
 /** A running entry. */
 export type Entry = Awaited<ReturnType<typeof startEntry>>;
 
-/** Runs a test against an entry before one upstream for each act. */
+/** Runs a test against an entry with one fake upstream for each handler. */
 export const withEntry = async (
   acts: readonly Act[],
   options: Omit<EntryOptions, 'upstreams'>,
@@ -23,7 +23,7 @@
   }
 };
 
-/** Requests that the upstreams have read. */
+/** Number of requests that the upstreams have received. */
 export const runs = (upstreams: readonly FakeUpstream[]): number =>
   upstreams.reduce((sum, { seen }) => sum + seen.length, 0);
 
@@ -33,11 +33,11 @@
     setTimeout(resolve, ms);
   });
 
-/** A route whose requests may run once. */
-export const unsafe = { kind: 'unsafe' as const, maxAttempts: 1 };
-/** A route of streams that may be resumed. */
+/** Options of a route whose requests must not run more than once. */
+export const unsafeRoute = { kind: 'unsafe' as const, maxAttempts: 1 };
+/** Options of a route with resumable streams. */
 export const stream = { kind: 'stream' as const, resumable: true, targetPauseMs: 120 };
 
-/** Ids of the events that a caller got. */
+/** Ids of the events in a response body. */
 export const eventsOf = (body: string): number[] =>
   [...body.matchAll(/^id: (\d+)$/gm)].map(([, id]) => Number(id));
