--- a/packages/requests/src/attempts/sent-attempt.ts
+++ b/packages/requests/src/attempts/sent-attempt.ts
@@ -3,45 +3,47 @@
 import type { AttemptEvent, AttemptStep, SentAttempt, SentState } from './types.js';
 
 /**
- * Creates the entry's record of one attempt. "Not run" comes only from a send that never happened
- * or from the agent's own word; whatever else ends an attempt that was sent leaves it unknown.
+ * Creates the entry's record of one attempt. The outcome is `not-run` only when the dispatch was
+ * never sent or the agent reported it; any other end of a sent attempt leaves it `unknown`.
  */
 export const createSentAttempt = (id: AttemptId): SentAttempt => {
   let state: SentState = 'unsent';
   let outcome: Outcome | undefined;
   let answerBegun = false;
 
-  const close = (final: Outcome): AttemptStep => {
+  const close = (finalOutcome: Outcome): AttemptStep => {
     state = 'closed';
-    outcome = final;
-    return { step: 'closed', outcome: final };
+    outcome = finalOutcome;
+    return { step: 'closed', outcome: finalOutcome };
   };
 
-  const running = (): AttemptStep => {
+  const markStarted = (): AttemptStep => {
     state = 'started';
     return { step: 'continue' };
   };
 
-  const beforeSend = (event: AttemptEvent): AttemptStep => {
+  const applyBeforeSend = (event: AttemptEvent): AttemptStep => {
     if (event.kind === 'sent') {
       state = 'sent';
       return { step: 'continue' };
     }
-    const endsHere = ['send-failed', 'gave-up', 'link-lost', 'instance-gone'].includes(event.kind);
-    return endsHere ? close('not-run') : { step: 'late' };
+    const provesNotSent = ['send-failed', 'gave-up', 'link-lost', 'instance-gone'].includes(
+      event.kind,
+    );
+    return provesNotSent ? close('not-run') : { step: 'late' };
   };
 
-  const afterSend = (event: AttemptEvent): AttemptStep => {
+  const applyAfterSend = (event: AttemptEvent): AttemptStep => {
     switch (event.kind) {
       case 'started':
-        return running();
+        return markStarted();
       case 'progress':
         answerBegun = true;
-        return running();
+        return markStarted();
       case 'end':
         return close('answered');
       case 'not-run':
-        // An agent that takes back an answer it has begun breaks the protocol: nothing is proved.
+        // After part of the answer, `not-run` violates the protocol and proves nothing.
         return close(answerBegun ? 'unknown' : 'not-run');
       case 'link-lost':
         return { step: 'query' };
@@ -63,7 +65,7 @@
     outcome: () => outcome,
     apply: (event) => {
       if (state === 'closed') return { step: 'late' };
-      return state === 'unsent' ? beforeSend(event) : afterSend(event);
+      return state === 'unsent' ? applyBeforeSend(event) : applyAfterSend(event);
     },
   };
 };
--- a/packages/requests/src/attempts/types.ts
+++ b/packages/requests/src/attempts/types.ts
@@ -1,55 +1,63 @@
 import type { AttemptId } from '@plantaindrum/link';
 import type { Outcome } from '../outcomes.js';
 
-/** State of an attempt in the agent's ledger. */
+/** State of an attempt at the agent. */
 export type AttemptState = 'queued' | 'started' | 'answered' | 'not-run' | 'unknown';
 
-/** What the agent must do with a dispatch frame. */
+/** How the agent must handle a dispatch frame. */
 export type DispatchDecision =
-  /** New: the agent may queue it. */
+  /** New attempt: queue it. */
   | 'accept'
-  /** Its id is already known: the frame is dropped and counted. */
+  /** The id is already known: drop the frame and count it. */
   | 'duplicate'
-  /** Its id carries a tombstone: answer `not-run`. */
+  /** The id has a tombstone: answer `not-run`. */
   | 'refuse-tombstone'
-  /** The ledger has forgotten ids this old: answer `unknown`. */
+  /** Records of ids this old have been dropped: answer `unknown`. */
   | 'refuse-forgotten';
 
-/** What the agent must do with a cancel. */
+/** How the agent must handle a cancel frame. */
 export type CancelDecision =
-  /** It was queued, or not seen yet: it has a tombstone now; answer `not-run`. */
+  /** The attempt was queued or not seen yet and now has a tombstone: answer `not-run`. */
   | 'not-run'
-  /** It runs: stop the upstream, then answer `unknown`. */
+  /** The attempt is running: stop the upstream, then answer `unknown`. */
   | 'stop-upstream'
-  /** It has ended: nothing to do. */
+  /** The attempt has ended: nothing to do. */
   | 'ended';
 
 /** The agent's answer to a query. */
 export type QueryDecision = 'not-run' | 'queued' | 'started' | 'answered' | 'unknown';
 
-/** The agent's record of attempts; the only source of "not run". */
+/** The agent's registry of attempts. Only it can state that a sent attempt has not run. */
 export interface AttemptLedger {
+  /** Registers a dispatched attempt as queued, if it is new. */
   dispatch(id: AttemptId): DispatchDecision;
-  /** The upstream is about to get it; false when it was cancelled first and must not start. */
+  /** Marks a queued attempt as started; false when it was cancelled and must not start. */
   start(id: AttemptId): boolean;
-  /** Closes a queued attempt with a tombstone; false when it has started or ended. */
+  /** Closes a queued attempt as not run; false when it has started or ended. */
   refuse(id: AttemptId): boolean;
-  /** Closes a started attempt; false when it wasn't running. */
+  /** Closes a started attempt; false when it was not running. */
   end(id: AttemptId, outcome: 'answered' | 'unknown'): boolean;
-  /** Closes a started attempt that the upstream provably never got (connection refused). */
+  /**
+   * Closes a started attempt as not run, when it can't have reached the upstream (connection
+   * refused).
+   */
   endUnsent(id: AttemptId): boolean;
+  /** Closes an attempt that has not started. */
   cancel(id: AttemptId): CancelDecision;
-  /** Unknown ids get a tombstone, so that a frame still on its way can't start them. */
+  /**
+   * Returns the state of an attempt. An unknown id gets a tombstone, so that a frame in flight
+   * can't start it.
+   */
   query(id: AttemptId): QueryDecision;
   state(id: AttemptId): AttemptState | undefined;
-  /** Number of attempts and tombstones held. */
+  /** Number of attempts and tombstones in memory. */
   size(): number;
 }
 
-/** The entry's state of one attempt. */
+/** State of an attempt at the entry. */
 export type SentState = 'unsent' | 'sent' | 'started' | 'closed';
 
-/** What the entry learnt about an attempt. */
+/** Events of an attempt at the entry. */
 export type AttemptEvent =
   | { kind: 'send-failed' }
   | { kind: 'sent' }
@@ -58,27 +66,27 @@
   | { kind: 'end' }
   | { kind: 'not-run' }
   | { kind: 'unknown' }
-  /** The link ended; the same agent instance can still be asked. */
+  /** The link was lost; the same agent instance can still be queried. */
   | { kind: 'link-lost' }
-  /** The agent's instance is gone for good: nobody can prove anything now. */
+  /** The agent instance has exited: its record of the attempt is lost. */
   | { kind: 'instance-gone' }
-  /** The entry gives up waiting. */
+  /** The entry stops waiting. */
   | { kind: 'gave-up' };
 
-/** The entry's record of one attempt; says what may be told to the caller. */
+/** The entry's record of one attempt; it determines the outcome that the caller receives. */
 export interface SentAttempt {
   readonly id: AttemptId;
   state(): SentState;
-  /** The outcome once closed. */
+  /** The final outcome; undefined until the attempt is closed. */
   outcome(): Outcome | undefined;
   /**
-   * Applies an event. `closed` carries the final outcome; `query` asks the same agent instance after
-   * a reconnect; `late` means that the attempt was closed before: drop the frame and count it.
+   * Applies an event. `closed`: the attempt has its final outcome; `query`: query the same agent
+   * instance after a reconnect; `late`: the event doesn't apply any more, drop and count the frame.
    */
   apply(event: AttemptEvent): AttemptStep;
 }
 
-/** What the entry must do after an event. */
+/** How the entry must proceed after an event. */
 export type AttemptStep =
   | { step: 'continue' }
   | { step: 'query' }
--- a/packages/requests/src/claims/batching-log.ts
+++ b/packages/requests/src/claims/batching-log.ts
@@ -5,53 +5,53 @@
 /** Settings of a batching log. */
 export interface BatchingLogOptions {
   clock: Clock;
-  /** How long the first value of a batch waits for others, in milliseconds. */
+  /** Time that the first value of a batch waits for others, in milliseconds. */
   lingerMs: number;
-  /** Most values in one append. */
-  most: number;
+  /** Largest number of values in one append. */
+  maxValues: number;
 }
 
-type Appended = Result<number[], LogFailure>;
+type AppendResult = Result<number[], LogFailure>;
 
-interface Waiting {
+interface PendingAppend {
   values: readonly unknown[];
-  settle: (result: Appended) => void;
+  resolve: (result: AppendResult) => void;
 }
 
 interface Batcher {
-  add(values: readonly unknown[]): Promise<Appended>;
+  add(values: readonly unknown[]): Promise<AppendResult>;
 }
 
-const takeBatch = (waiting: Waiting[], most: number): Waiting[] => {
-  const batch: Waiting[] = [];
+const takeBatch = (pending: PendingAppend[], maxValues: number): PendingAppend[] => {
+  const batch: PendingAppend[] = [];
   let size = 0;
-  while (waiting[0] && (size === 0 || size + waiting[0].values.length <= most)) {
-    const next = waiting.shift()!;
+  while (pending[0] && (size === 0 || size + pending[0].values.length <= maxValues)) {
+    const next = pending.shift()!;
     batch.push(next);
     size += next.values.length;
   }
   return batch;
 };
 
-const settleBatch = (batch: readonly Waiting[], result: Appended) => {
+const resolveBatch = (batch: readonly PendingAppend[], result: AppendResult) => {
   let from = 0;
-  batch.forEach(({ values, settle }) => {
-    settle(result.ok ? ok(result.value.slice(from, from + values.length)) : fail(result.err));
+  batch.forEach(({ values, resolve }) => {
+    resolve(result.ok ? ok(result.value.slice(from, from + values.length)) : fail(result.err));
     from += values.length;
   });
 };
 
 /**
- * Wraps a log so that appends to one partition travel together. At most one append of a partition
- * is on its way; what comes meanwhile goes with the next, so the rate of appends is bounded by the
- * log's own pace and by the linger, whatever the rate of values.
+ * Wraps a log so that appends to one partition are batched. At most one append per partition is in
+ * flight, and values that arrive meanwhile go into the next. The rate of appends is therefore
+ * bounded by the latency of the log and by `lingerMs`, whatever the rate of values.
  */
 export const createBatchingLog = (log: Log, options: BatchingLogOptions): Log => {
-  const { clock, lingerMs, most } = options;
+  const { clock, lingerMs, maxValues } = options;
   const batchers = new Map<string, Batcher>();
 
   const createBatcher = (topic: string, partition: number): Batcher => {
-    const waiting: Waiting[] = [];
+    const pending: PendingAppend[] = [];
     let isBusy = false;
 
     const run = async () => {
@@ -61,18 +61,18 @@
           clock.after(lingerMs, resolve);
         });
       }
-      while (waiting.length > 0) {
-        const batch = takeBatch(waiting, most);
+      while (pending.length > 0) {
+        const batch = takeBatch(pending, maxValues);
         const values = batch.flatMap((entry) => entry.values);
-        settleBatch(batch, await log.append(topic, partition, values));
+        resolveBatch(batch, await log.append(topic, partition, values));
       }
       isBusy = false;
     };
 
     return {
       add: (values) =>
-        new Promise((settle) => {
-          waiting.push({ values, settle });
+        new Promise((resolve) => {
+          pending.push({ values, resolve });
           if (!isBusy) void run();
         }),
     };
--- a/packages/requests/src/claims/claims.ts
+++ b/packages/requests/src/claims/claims.ts
@@ -6,7 +6,7 @@
 import { createPartitionReplay } from './partition-replay.js';
 import type { ClaimRecord } from './records.js';
 import { CLAIM_PARTITIONS, CLAIMS_TOPIC, hashKey, keyDate, partitionOf } from './records.js';
-import { createTailAppender } from './tail-appender.js';
+import { createBackgroundAppender } from './background-appender.js';
 import type { ClaimId, ClaimOutcome, ClaimRequest, Claims, ClaimVerdict } from './types.js';
 
 /** Settings of an agent's claims. */
@@ -14,30 +14,30 @@
   clock: Clock;
   log: Log;
   metrics: Metrics;
-  /** Random for each start of the process; claims of an earlier instance are never taken up. */
+  /** Random id of this process; claims of an earlier process are not resumed. */
   instance: string;
-  /** Number of partitions, the same on every node. */
+  /** Number of partitions, the same at every agent. */
   partitions?: number;
-  /** How long a dated key may be used; must be well below the retention, in milliseconds. */
+  /** Largest age of a dated key, in milliseconds; must be well below the retention. */
   windowMs?: number;
-  /** How long the log keeps a record, in milliseconds. */
+  /** Retention of the log, in milliseconds. */
   retentionMs?: number;
-  /** How far clocks may differ, in milliseconds. */
+  /** Largest difference between clocks, in milliseconds. */
   clockSkewMs?: number;
-  /** Keys held in memory; above it the partition unused for longest is dropped and read anew. */
-  mostKeys?: number;
-  /** How long a claim waits for others to share its append, in milliseconds. */
+  /** Largest number of keys in memory; above it, the least recently used partition is evicted. */
+  maxKeys?: number;
+  /** Time that a claim waits for others to share its append, in milliseconds. */
   lingerMs?: number;
 }
 
-/** A claim that was the first and whose call has not ended. */
+/** A claim with the verdict `first` whose call has not ended. */
 interface ActiveClaim {
   key: string;
   partition: number;
 }
 
-/** What is tried for one request. */
-interface Attempt extends ActiveClaim {
+/** One attempt to claim the key of a request. */
+interface ClaimAttempt extends ActiveClaim {
   request: ClaimRequest;
   record: ClaimRecord;
   replay: PartitionReplay;
@@ -45,62 +45,64 @@
   deadline: number;
 }
 
-type Unsettled = Extract<ClaimVerdict, { verdict: 'log-down' | 'not-confirmed' }>;
+type UnconfirmedVerdict = Extract<ClaimVerdict, { verdict: 'log-down' | 'not-confirmed' }>;
 
 const DEFAULT_WINDOW_MS = 10 * 60_000;
 const DEFAULT_RETENTION_MS = 60 * 60_000;
 const DEFAULT_CLOCK_SKEW_MS = 60_000;
 const DEFAULT_LINGER_MS = 2;
-const DEFAULT_MOST_KEYS = 100_000;
-const MOST_IN_BATCH = 256;
-/** Pause before another append when the answer to one was lost, in milliseconds. */
-const REAPPEND_PAUSE_MS = 50;
-/** A log that fails this often in a row is given up on. */
-const MOST_TRIES = 3;
+const DEFAULT_MAX_KEYS = 100_000;
+const MAX_BATCH_VALUES = 256;
+/** Delay before an append is repeated after its answer was lost, in milliseconds. */
+const REAPPEND_DELAY_MS = 50;
+/** Number of failed tries after which a claim is refused. */
+const MAX_TRIES = 3;
 /**
- * How long the record of a call's end is waited for, in milliseconds. The log takes one in some ten; one
- * whose append was lost is appended again after 200. Longer, an outage of the log would hold up answers.
+ * Default limit on the wait for the record of a call's end, in milliseconds. An append takes about
+ * 10 ms, and a lost one is repeated after 200 ms. With a longer wait, an outage of the log would
+ * delay answers.
  */
 const DEFAULT_END_WAIT_MS = 500;
-/** A larger answer is not kept with its key, in bytes of base64. */
-const MOST_KEPT_BODY = 1_024;
+/** Largest body that is stored with its key, in characters of base64. */
+const MAX_STORED_BODY_LENGTH = 1_024;
 
-const logDown = (err: LogFailure): Unsettled => ({
+const logDown = (err: LogFailure): UnconfirmedVerdict => ({
   verdict: 'log-down',
   retryAfterMs: Math.max(1, err.retryAfterMs),
 });
 
-const notConfirmed = (err: LogFailure): Unsettled => ({
+const notConfirmed = (err: LogFailure): UnconfirmedVerdict => ({
   verdict: 'not-confirmed',
   retryAfterMs: Math.max(1, err.retryAfterMs),
 });
 
-const LATE: LogFailure = { kind: 'unknown', retryAfterMs: 1_000 };
+const TIMED_OUT: LogFailure = { kind: 'unknown', retryAfterMs: 1_000 };
 
 const withoutLargeBody = ({ body, ...rest }: ClaimOutcome): ClaimOutcome =>
-  body !== undefined && body.length <= MOST_KEPT_BODY ? { ...rest, body } : rest;
+  body !== undefined && body.length <= MAX_STORED_BODY_LENGTH ? { ...rest, body } : rest;
 
 /**
- * Creates an agent's claims. A call runs only when replay shows its claim as the first for the key:
- * no lease and no clock decides between two agents, so one that slept and wakes does no harm.
+ * Creates an agent's claims. A call runs only when replay shows its claim as the first for the key.
+ * No lease or clock decides between two agents, so an agent that was suspended and resumes is safe.
  */
 export const createClaims = (options: ClaimsOptions): Claims => {
   const { clock, metrics, instance, partitions = CLAIM_PARTITIONS } = options;
   const { windowMs = DEFAULT_WINDOW_MS, retentionMs = DEFAULT_RETENTION_MS } = options;
   const { clockSkewMs = DEFAULT_CLOCK_SKEW_MS, lingerMs = DEFAULT_LINGER_MS } = options;
-  const log = createBatchingLog(options.log, { clock, lingerMs, most: MOST_IN_BATCH });
-  const tail = createTailAppender({ clock, log, lifeMs: windowMs });
-  const mostKeys = options.mostKeys ?? DEFAULT_MOST_KEYS;
-  /** In the order of last use. */
+  const log = createBatchingLog(options.log, { clock, lingerMs, maxValues: MAX_BATCH_VALUES });
+  const background = createBackgroundAppender({ clock, log, maxAgeMs: windowMs });
+  const maxKeys = options.maxKeys ?? DEFAULT_MAX_KEYS;
+  /** Ordered by last use. */
   const replays = new Map<number, PartitionReplay>();
   const active = new Map<ClaimId, ActiveClaim>();
   let serial = 0;
 
-  const heldKeys = () => [...replays.values()].reduce((sum, { table }) => sum + table.size(), 0);
+  const keysInMemory = () =>
+    [...replays.values()].reduce((sum, { table }) => sum + table.size(), 0);
 
-  /** What is dropped is read again from the log when a key of its partition comes. */
-  const dropUnused = () => {
-    while (replays.size > 1 && heldKeys() > mostKeys) {
+  /** Evicts the least recently used partitions; they are read again from the log when needed. */
+  const evictUnused = () => {
+    while (replays.size > 1 && keysInMemory() > maxKeys) {
       const [oldest] = replays.keys();
       replays.delete(oldest!);
     }
@@ -111,20 +113,20 @@
       replays.get(partition) ?? createPartitionReplay({ clock, log, partition, retentionMs });
     replays.delete(partition);
     replays.set(partition, replay);
-    dropUnused();
+    evictUnused();
     return replay;
   };
 
-  /** Whether a dated key is outside its window; an undated key's age is not known. */
+  /** Whether a dated key is outside the window; undated keys don't expire. */
   const isExpired = (key: string): boolean => {
     const date = keyDate(key);
     if (date === undefined) return false;
-    const age = clock.now() - date;
-    // A key from the future would stay in its window for longer than the log remembers it.
-    return age > windowMs || age < -clockSkewMs;
+    const ageMs = clock.now() - date;
+    // A key dated in the future would stay in the window for longer than the log keeps its claim.
+    return ageMs > windowMs || ageMs < -clockSkewMs;
   };
 
-  const begin = (request: ClaimRequest): Attempt => {
+  const createAttempt = (request: ClaimRequest): ClaimAttempt => {
     const key = hashKey(request.organisation, request.key);
     const partition = partitionOf(key, partitions);
     serial += 1;
@@ -139,46 +141,51 @@
   };
 
   const release = (partition: number, id: ClaimId, key: string): Promise<void> =>
-    tail.add(partition, { kind: 'release', id, key });
+    background.add(partition, { kind: 'release', id, key });
 
-  const giveBack = ({ partition, record }: Attempt) => {
+  const releaseAttempt = ({ partition, record }: ClaimAttempt) => {
     void release(partition, record.id, record.key);
   };
 
-  const pause = (ms: number) =>
+  const delay = (ms: number) =>
     new Promise<void>((resolve) => {
       clock.after(ms, resolve);
     });
 
-  const heldBy = (holder: Holder, attempt: Attempt): ClaimVerdict => {
+  const verdictForHeldKey = (holder: Holder, attempt: ClaimAttempt): ClaimVerdict => {
     if (holder.body !== attempt.record.body) return { verdict: 'key-reused' };
     if (holder.outcome) return { verdict: 'known', outcome: holder.outcome };
     return { verdict: 'held', runningHere: active.has(holder.id) };
   };
 
-  /** Answers a repeat without an append, if the key is held already. */
-  const earlierHolder = async (attempt: Attempt): Promise<ClaimVerdict | undefined> => {
+  /** Returns the verdict without an append, if the key is held already. */
+  const verdictOfEarlierClaim = async (
+    attempt: ClaimAttempt,
+  ): Promise<ClaimVerdict | undefined> => {
     const { replay, key } = attempt;
     if (!replay.table.holder(key)) return undefined;
-    // What stands in the table may have been released since.
+    // The claim in the table may have been released since.
     const caughtUp = await replay.catchUp();
     const holder = replay.table.holder(key);
-    return caughtUp.ok && holder ? heldBy(holder, attempt) : undefined;
+    return caughtUp.ok && holder ? verdictForHeldKey(holder, attempt) : undefined;
   };
 
-  /** Replays until the claim itself is seen; `unseen` when its append did not land. */
-  const replayOwn = async (attempt: Attempt, offset: number | undefined) => {
+  /** Replays up to the claim itself; `unseen` when its append had no effect. */
+  const replayUntilOwnClaim = async (attempt: ClaimAttempt, offset: number | undefined) => {
     const { replay, key, record } = attempt;
     const caughtUp = offset === undefined ? await replay.catchUp() : await replay.catchUpTo(offset);
     return caughtUp.ok ? replay.table.standing(key, record.id) : caughtUp.err;
   };
 
-  const verdictOf = (attempt: Attempt, standing: 'first' | 'dead'): ClaimVerdict | undefined => {
+  const verdictOf = (
+    attempt: ClaimAttempt,
+    standing: 'first' | 'dead',
+  ): ClaimVerdict | undefined => {
     const { replay, key, record, partition, request } = attempt;
-    // Checked after the replay, not before: an agent that slept in between could otherwise find its
-    // claim first only because the log has dropped the earlier one.
+    // Checked after the replay: an agent that was suspended in between could otherwise find its
+    // claim to be the first only because the log has dropped the earlier one.
     if (isExpired(request.key)) {
-      if (standing === 'first') giveBack(attempt);
+      if (standing === 'first') releaseAttempt(attempt);
       return { verdict: 'key-expired' };
     }
     if (standing === 'first') {
@@ -186,53 +193,56 @@
       return { verdict: 'first', claim: record.id };
     }
     const holder = replay.table.holder(key);
-    return holder && heldBy(holder, attempt);
+    return holder && verdictForHeldKey(holder, attempt);
   };
 
-  /** Whether a claim that the log was too busy for may wait for another try. */
-  const mayWait = (err: LogFailure, tries: number, deadline: number): boolean =>
+  /** Whether a claim that the log throttled may be retried. */
+  const mayRetry = (err: LogFailure, tries: number, deadline: number): boolean =>
     err.kind === 'throttled' &&
-    tries < MOST_TRIES &&
+    tries < MAX_TRIES &&
     err.retryAfterMs < (deadline - clock.monotonic()) / 2;
 
-  /** Appends the claim until replay shows it. Undefined: the key has become free; claim anew. */
-  const settle = async (
-    attempt: Attempt,
-    isLate: () => boolean,
+  /** Appends the claim until replay shows it; undefined when the key was released meanwhile. */
+  const confirm = async (
+    attempt: ClaimAttempt,
+    isTimedOut: () => boolean,
   ): Promise<ClaimVerdict | undefined> => {
-    let mayStand = false;
-    for (let tries = 1; !isLate(); tries += 1) {
+    let mayBeAppended = false;
+    for (let tries = 1; !isTimedOut(); tries += 1) {
       const appended = await log.append(CLAIMS_TOPIC, attempt.partition, [attempt.record]);
-      // The caller has had its answer: whatever landed is given back, and never runs.
-      if (isLate()) break;
-      if (!appended.ok && appended.err.kind !== 'unknown' && !mayStand) {
-        if (!mayWait(appended.err, tries, attempt.deadline)) return logDown(appended.err);
-        await pause(appended.err.retryAfterMs);
+      // The request was already answered: the claim is released and its call doesn't run.
+      if (isTimedOut()) break;
+      if (!appended.ok && appended.err.kind !== 'unknown' && !mayBeAppended) {
+        if (!mayRetry(appended.err, tries, attempt.deadline)) return logDown(appended.err);
+        await delay(appended.err.retryAfterMs);
         continue;
       }
-      mayStand = true;
-      const standing = await replayOwn(attempt, appended.ok ? appended.value[0] : undefined);
-      if (isLate()) break;
+      mayBeAppended = true;
+      const standing = await replayUntilOwnClaim(
+        attempt,
+        appended.ok ? appended.value[0] : undefined,
+      );
+      if (isTimedOut()) break;
       if (standing === 'first' || standing === 'dead') return verdictOf(attempt, standing);
-      if (standing !== 'unseen' && tries >= MOST_TRIES) return notConfirmed(standing);
-      await pause(REAPPEND_PAUSE_MS);
+      if (standing !== 'unseen' && tries >= MAX_TRIES) return notConfirmed(standing);
+      await delay(REAPPEND_DELAY_MS);
     }
-    return notConfirmed(LATE);
+    return notConfirmed(TIMED_OUT);
   };
 
-  /** Settles within the budget; what is not settled by then is released and never runs. */
-  const settleInTime = async (attempt: Attempt): Promise<ClaimVerdict | undefined> => {
-    let isLate = false;
+  /** Confirms the claim within the budget; otherwise it is released and its call doesn't run. */
+  const confirmWithinBudget = async (attempt: ClaimAttempt): Promise<ClaimVerdict | undefined> => {
+    let isTimedOut = false;
     let cancelTimer = () => {};
     const timeout = new Promise<ClaimVerdict>((resolve) => {
       cancelTimer = clock.after(Math.max(0, attempt.deadline - clock.monotonic()), () => {
-        isLate = true;
-        resolve(notConfirmed(LATE));
+        isTimedOut = true;
+        resolve(notConfirmed(TIMED_OUT));
       });
     });
-    const verdict = await Promise.race([settle(attempt, () => isLate), timeout]);
+    const verdict = await Promise.race([confirm(attempt, () => isTimedOut), timeout]);
     cancelTimer();
-    if (verdict?.verdict === 'not-confirmed') giveBack(attempt);
+    if (verdict?.verdict === 'not-confirmed') releaseAttempt(attempt);
     return verdict;
   };
 
@@ -240,18 +250,18 @@
     if (isExpired(request.key)) return { verdict: 'key-expired' };
     const deadline = clock.monotonic() + request.budgetMs;
     for (;;) {
-      const attempt = { ...begin(request), deadline };
-      const earlier = await earlierHolder(attempt);
+      const attempt = { ...createAttempt(request), deadline };
+      const earlier = await verdictOfEarlierClaim(attempt);
       if (earlier) return earlier;
-      const verdict = await settleInTime(attempt);
+      const verdict = await confirmWithinBudget(attempt);
       if (verdict) return verdict;
     }
   };
 
-  const end = (claim: ClaimId): ActiveClaim | undefined => {
-    const ended = active.get(claim);
+  const removeActive = (claim: ClaimId): ActiveClaim | undefined => {
+    const activeClaim = active.get(claim);
     active.delete(claim);
-    return ended;
+    return activeClaim;
   };
 
   return {
@@ -261,26 +271,26 @@
       return verdict;
     },
     finish: async (claim, outcome, waitMs = DEFAULT_END_WAIT_MS) => {
-      const ended = end(claim);
-      if (!ended) return;
-      const { key, partition } = ended;
+      const activeClaim = removeActive(claim);
+      if (!activeClaim) return;
+      const { key, partition } = activeClaim;
       const record = {
         kind: 'finish',
         id: claim,
         key,
         outcome: withoutLargeBody(outcome),
       } as const;
-      await Promise.race([tail.add(partition, record), pause(waitMs)]);
+      await Promise.race([background.add(partition, record), delay(waitMs)]);
     },
     release: async (claim, waitMs = DEFAULT_END_WAIT_MS) => {
-      const ended = end(claim);
-      if (!ended) return;
-      await Promise.race([release(ended.partition, claim, ended.key), pause(waitMs)]);
+      const activeClaim = removeActive(claim);
+      if (!activeClaim) return;
+      await Promise.race([release(activeClaim.partition, claim, activeClaim.key), delay(waitMs)]);
     },
     abandon: (claim) => {
-      end(claim);
+      removeActive(claim);
     },
-    flush: (ms) => tail.flush(ms),
-    close: () => tail.close(),
+    flush: (ms) => background.flush(ms),
+    close: () => background.close(),
   };
 };
--- a/packages/requests/src/claims/key-table.ts
+++ b/packages/requests/src/claims/key-table.ts
@@ -5,40 +5,40 @@
 export interface Holder {
   id: ClaimId;
   body: string;
-  /** Set once its call was answered. */
+  /** Outcome of the call, once answered. */
   outcome?: ClaimOutcome;
 }
 
-/** One key as replay has left it. */
+/** State of one key after replay. */
 interface KeyState {
   holder: Holder | undefined;
-  /** Claims that lost or were released: they never win, also when appended again. */
+  /** Claims that lost or were released; they can't win, even when appended again. */
   dead?: Set<ClaimId>;
   appliedAt: number;
 }
 
-/** What replay says of one claim. */
+/** State of one claim after replay. */
 export type ClaimStanding = 'unseen' | 'first' | 'dead';
 
-/** The claims of one partition, replayed in the order of offsets. */
+/** Claims of one partition, replayed in the order of offsets. */
 export interface KeyTable {
+  /** Applies the next record; `now` is monotonic time in milliseconds. */
   apply(record: ClaimLogRecord, now: number): void;
   holder(key: string): Holder | undefined;
   standing(key: string, id: ClaimId): ClaimStanding;
-  /** Forgets keys last touched before `time`. */
+  /** Drops keys whose last record was applied before `time`. */
   prune(time: number): void;
   clear(): void;
   size(): number;
 }
 
 /**
- * Creates an empty table. Every reader replays the same records by the same rule, so all agree on
- * the first claim of a key without talking to each other: a claim wins when nothing holds its key
- * at its offset, and whatever is appended later can't change that. Only the winner itself can
- * give the key up, by a release.
+ * Creates an empty table. All agents replay the same records by the same rule, so they agree on the
+ * first claim of a key without communicating: a claim wins when no claim holds its key at its
+ * offset, and later records can't change that. Only a release by the winner frees the key.
  */
 export const createKeyTable = (): KeyTable => {
-  /** In the order of the last record. */
+  /** Ordered by the time of the last record. */
   const keys = new Map<string, KeyState>();
 
   const touch = (key: string, now: number): KeyState => {
@@ -49,7 +49,7 @@
     return state;
   };
 
-  const bury = (state: KeyState, id: ClaimId) => {
+  const markDead = (state: KeyState, id: ClaimId) => {
     const dead = state.dead ?? new Set();
     dead.add(id);
     Object.assign(state, { dead });
@@ -62,7 +62,7 @@
       const isHolder = holder?.id === record.id;
       if (record.kind === 'claim') {
         if (isHolder || dead?.has(record.id)) return;
-        if (holder) bury(state, record.id);
+        if (holder) markDead(state, record.id);
         else state.holder = { id: record.id, body: record.body };
         return;
       }
@@ -71,9 +71,9 @@
         return;
       }
       if (isHolder && holder.outcome) return;
-      // A release can come before its claim, when the claim's append was delayed: remembered, it
-      // keeps that claim from holding the key for nobody.
-      bury(state, record.id);
+      // When the append of a claim was delayed, its release can come first. The claim is marked
+      // dead, or it would hold the key although its call never runs.
+      markDead(state, record.id);
       if (isHolder) state.holder = undefined;
     },
     holder: (key) => keys.get(key)?.holder,
--- a/packages/requests/src/claims/partition-replay.ts
+++ b/packages/requests/src/claims/partition-replay.ts
@@ -5,12 +5,13 @@
 import { createKeyTable } from './key-table.js';
 import { CLAIMS_TOPIC, parseClaimRecord } from './records.js';
 
-/** One partition of the claims, replayed as far as somebody has asked for. */
+/** Replay of one partition of the claims, on demand. */
 export interface PartitionReplay {
+  /** Claims as of the replayed offset. */
   table: KeyTable;
   /** Replays up to and including `offset`. */
   catchUpTo(offset: number): Promise<Result<void, LogFailure>>;
-  /** Replays everything that the log holds now. */
+  /** Replays up to the current end of the log. */
   catchUp(): Promise<Result<void, LogFailure>>;
 }
 
@@ -23,16 +24,16 @@
   retentionMs: number;
 }
 
-/** How long a read waits for a record that is known to exist, in milliseconds. */
+/** Wait of a read for a record that is known to exist, in milliseconds. */
 const READ_WAIT_MS = 250;
 
-/** A record that so many reads didn't bring is given up on. */
-const MOST_EMPTY_STEPS = 8;
+/** A record is considered missing after this many reads without progress. */
+const MAX_EMPTY_READS = 8;
 const MISSING_RECORD: LogFailure = { kind: 'unknown', retryAfterMs: 1_000 };
 
 /**
- * Creates the replay of one partition. It reads only when asked, from where it stopped: a fleet of
- * agents that all followed all claims would spend its network budget on calls it never sees.
+ * Creates the replay of one partition. It reads on demand, from where the last read stopped. If all
+ * agents followed all claims, they would use up their network budget on calls of other agents.
  */
 export const createPartitionReplay = (options: PartitionReplayOptions): PartitionReplay => {
   const { clock, log, partition, retentionMs } = options;
@@ -40,7 +41,7 @@
   let position: number | undefined;
   let reading: Promise<Result<void, LogFailure>> | undefined;
 
-  const begin = async (): Promise<Result<void, LogFailure>> => {
+  const seekToBeginning = async (): Promise<Result<void, LogFailure>> => {
     const offsets = await log.offsets(CLAIMS_TOPIC, partition);
     if (!offsets.ok) return fail(offsets.err);
     table.clear();
@@ -48,11 +49,12 @@
     return ok(undefined);
   };
 
-  const readOn = async (from: number): Promise<Result<void, LogFailure>> => {
+  const readFrom = async (from: number): Promise<Result<void, LogFailure>> => {
     const records = await log.read(CLAIMS_TOPIC, partition, from, READ_WAIT_MS);
     if (!records.ok && records.err.kind === 'out-of-range') {
-      // This agent slept past the retention: claims in the gap are unknown to it, so that its table
-      // would take a later claim for the first. It begins again from what the log still holds.
+      // This agent was suspended for longer than the retention. Its table lacks the claims in the
+      // gap and would take a later claim for the first, so it starts again from the beginning of
+      // the log.
       position = undefined;
       return ok(undefined);
     }
@@ -67,22 +69,22 @@
     return ok(undefined);
   };
 
-  /** One step; concurrent callers share it. */
-  const step = async (): Promise<Result<void, LogFailure>> => {
-    reading ??= (position === undefined ? begin() : readOn(position)).finally(() => {
+  /** Reads once; concurrent callers share the read. */
+  const readNext = async (): Promise<Result<void, LogFailure>> => {
+    reading ??= (position === undefined ? seekToBeginning() : readFrom(position)).finally(() => {
       reading = undefined;
     });
     return reading;
   };
 
   const catchUpTo = async (offset: number): Promise<Result<void, LogFailure>> => {
-    let emptySteps = 0;
+    let emptyReads = 0;
     while (position === undefined || position <= offset) {
       const before = position;
-      const result = await step();
+      const result = await readNext();
       if (!result.ok) return result;
-      emptySteps = position === before ? emptySteps + 1 : 0;
-      if (emptySteps >= MOST_EMPTY_STEPS) return fail(MISSING_RECORD);
+      emptyReads = position === before ? emptyReads + 1 : 0;
+      if (emptyReads >= MAX_EMPTY_READS) return fail(MISSING_RECORD);
     }
     return ok(undefined);
   };
--- a/packages/requests/src/claims/records.ts
+++ b/packages/requests/src/claims/records.ts
@@ -2,17 +2,17 @@
 import { z } from 'zod';
 import type { ClaimId, ClaimOutcome } from './types.js';
 
-/** An agent wants to run the call of this key. */
+/** Record of an agent that asks to run the call of a key. */
 export interface ClaimRecord {
   kind: 'claim';
   id: ClaimId;
   /** Hash of organisation and key, see `hashKey`. */
   key: string;
-  /** Hash of the call, so that a key used for another call is noticed. */
+  /** Hash of the call, to detect a key that is used for another call. */
   body: string;
 }
 
-/** The call of a claim was answered. */
+/** Record of a call that was answered. */
 export interface FinishRecord {
   kind: 'finish';
   id: ClaimId;
@@ -20,7 +20,7 @@
   outcome: ClaimOutcome;
 }
 
-/** The call of a claim never ran and never will. */
+/** Record of a call that has not run and can't run later. */
 export interface ReleaseRecord {
   kind: 'release';
   id: ClaimId;
@@ -30,9 +30,11 @@
 /** A record of the claims topic. */
 export type ClaimLogRecord = ClaimRecord | FinishRecord | ReleaseRecord;
 
-/** Topic of the claims; its partitions are chosen by the key's hash. */
+/** Topic of the claims; the key's hash selects the partition. */
 export const CLAIMS_TOPIC = 'plantaindrum.claims';
-/** Number of partitions; every agent must use the same, or one key could have two first claims. */
+/**
+ * Number of partitions. It must be the same at every agent, or one key could have two first claims.
+ */
 export const CLAIM_PARTITIONS = 4;
 
 const outcomeSchema = z.object({
@@ -49,27 +51,27 @@
   z.object({ kind: z.literal('release'), ...base }),
 ]);
 
-/** Reads a record; undefined for anything else, which replay passes over. */
+/** Parses a record; undefined for an invalid one, which replay skips. */
 export const parseClaimRecord = (value: unknown): ClaimLogRecord | undefined => {
   const parsed = recordSchema.safeParse(value);
   return parsed.success ? parsed.data : undefined;
 };
 
-/** 128 bits of SHA-256 in base64url: short, and no two keys meet by chance. */
+/** 132 bits of SHA-256 in base64url: short, and without accidental collisions. */
 const shortHash = (text: string): string =>
   createHash('sha256').update(text).digest('base64url').slice(0, 22);
 
-/** Hash of a key within its organisation. */
+/** Hash of an organisation and its key. */
 export const hashKey = (organisation: string, key: string): string =>
   shortHash(`${organisation}\0${key}`);
 
-/** The partition of a key's hash. */
+/** Partition of a key, by its hash. */
 export const partitionOf = (keyHash: string, partitions: number): number =>
   Buffer.from(keyHash, 'base64url').readUInt32BE(0) % partitions;
 
 const UUID_V7 = /^([0-9a-f]{8})-([0-9a-f]{4})-7[0-9a-f]{3}-[89ab][0-9a-f]{3}-[0-9a-f]{12}$/i;
 
-/** When a key was made, in milliseconds since the Unix epoch, if it is a UUIDv7 (RFC 9562). */
+/** Creation time of a key in milliseconds since the Unix epoch, if it is a UUIDv7 (RFC 9562). */
 export const keyDate = (key: string): number | undefined => {
   const match = UUID_V7.exec(key);
   return match ? Number.parseInt(`${match[1]}${match[2]}`, 16) : undefined;
--- a/packages/requests/src/claims/types.ts
+++ b/packages/requests/src/claims/types.ts
@@ -4,60 +4,64 @@
   key: string;
   /** SHA-256 of method, path and body. */
   bodyHash: string;
-  /** How long the verdict may take, in milliseconds. */
+  /** Timeout of the verdict, in milliseconds. */
   budgetMs: number;
 }
 
-/** The known end of a call, kept with its key. */
+/** Outcome of an answered call, stored with its key. */
 export interface ClaimOutcome {
   /** HTTP status of the answer. */
   status: number;
   contentType?: string;
-  /** The body, in base64, when it is small enough to be kept. */
+  /** The body in base64, if it is small enough to be stored. */
   body?: string;
 }
 
 /**
- * The verdict on a claim. Only `first` may run. Apart from `first`, the call of this claim did not
- * run; what became of the earlier call with the key is the verdict.
+ * Verdict on a claim. Only `first` may run. With any other verdict the call of this claim did not
+ * run, and the verdict tells what is known of the earlier call with the key.
  */
 export type ClaimVerdict =
-  /** This claim is the first for its key: run it, then call `finish` or `release`. */
+  /**
+   * This claim is the first for its key: run the call, then `finish`, `release` or `abandon` it.
+   */
   | { verdict: 'first'; claim: ClaimId }
-  /** The key's call was answered before. */
+  /** An earlier call with the key was answered. */
   | { verdict: 'known'; outcome: ClaimOutcome }
-  /** The key's call is running, or was lost in a crash: outcome unknown. */
+  /** An earlier call with the key is running, or was lost in a crash: outcome unknown. */
   | { verdict: 'held'; runningHere: boolean }
-  /** The same key came with another body. */
+  /** The key was used before with another body. */
   | { verdict: 'key-reused' }
   /** The key is older than the window. */
   | { verdict: 'key-expired' }
-  /** The log took no claim: not run. */
+  /** The log did not accept the claim: not run. */
   | { verdict: 'log-down'; retryAfterMs: number }
-  /** The claim may stand in the log, but no reading confirmed it in time: not run, released. */
+  /** The claim may be in the log, but no read confirmed it in time: not run, and released. */
   | { verdict: 'not-confirmed'; retryAfterMs: number };
 
-/** Names one claim: unique over all agents and restarts. */
+/** Id of a claim, unique across agents and restarts. */
 export type ClaimId = string;
 
-/** Claims on idempotency keys, as one agent makes them. */
+/** Claims of one agent on idempotency keys. */
 export interface Claims {
-  /** Settles who may run the call; never rejects. */
+  /** Determines whether the call may run; the promise never rejects. */
   claim(request: ClaimRequest): Promise<ClaimVerdict>;
   /**
-   * The call of a `first` claim was answered. Resolves when the log has taken the outcome, which every later
-   * call with the key then gets, or after `waitMs`; a call before that is refused as held.
+   * Records that the call of a `first` claim was answered. Resolves when the log holds the outcome,
+   * which later calls with the key then get, or after `waitMs`. Until then, such calls are refused
+   * as held.
    */
   finish(claim: ClaimId, outcome: ClaimOutcome, waitMs?: number): Promise<void>;
   /**
-   * The call of a `first` claim provably never ran: its key is free again. Resolves when the log has
-   * taken the release, or after `waitMs`; a retry through another agent before that is refused as
+   * Frees the key of a `first` claim whose call is known not to have run. Resolves when the log
+   * holds the release, or after `waitMs`. Until then, a retry through another agent is refused as
    * held.
    */
   release(claim: ClaimId, waitMs?: number): Promise<void>;
-  /** The call of a `first` claim ended in an unknown way: the key stays taken. */
+  /** Records that the call of a `first` claim ended with an unknown outcome: the key stays held. */
   abandon(claim: ClaimId): void;
-  /** Resolves when nothing waits to be appended any more, or `ms` have passed. */
+  /** Resolves when no append is pending, or after `ms` milliseconds. */
   flush(ms: number): Promise<void>;
+  /** Stops retrying appends. */
   close(): void;
 }
--- a/packages/requests/src/index.ts
+++ b/packages/requests/src/index.ts
@@ -1,4 +1,4 @@
-export * from './attempts/attempt-ledger.js';
+export * from './attempts/attempt-state-registry.js';
 export * from './attempts/sent-attempt.js';
 export * from './attempts/types.js';
 export * from './claims/batching-log.js';
--- a/packages/requests/src/outcomes.ts
+++ b/packages/requests/src/outcomes.ts
@@ -1,8 +1,8 @@
 /**
- * What became of a request.
- * - `answered`: the caller got the whole answer.
- * - `not-run`: proved never to have run, and never to run later.
- * - `unknown`: it may have run; there is no whole answer.
+ * Final outcome of a request.
+ * - `answered`: the complete answer reached the caller.
+ * - `not-run`: the request is known not to have run, and can't run later.
+ * - `unknown`: the request may have run, but there is no complete answer.
  */
 export type Outcome = 'answered' | 'not-run' | 'unknown';
 
--- a/packages/requests/src/queue/agent-queue.ts
+++ b/packages/requests/src/queue/agent-queue.ts
@@ -6,156 +6,168 @@
 import { createShareMeter } from './share-meter.js';
 import type { AgentQueue, Offer, QueueItem, Rejected } from './types.js';
 
-/** Settings of the queue before one upstream. */
+/** Settings of an admission queue. */
 export interface AgentQueueOptions {
   clock: Clock;
   random: Random;
-  /** Most items that wait. */
+  /** Largest number of waiting items. */
   capacity: number;
-  /** Most items that run at once. */
+  /** Largest number of running items. */
   concurrency: number;
-  /** In an overload an organisation is over its share above this multiple of the mean. */
+  /**
+   * During an overload, an organisation is over its share above this multiple of the mean usage.
+   */
   shareSlack?: number;
 }
 
-/** Waiting work is given up once its expected wait exceeds what is left by this factor. */
+/** A waiting item is rejected when its expected wait exceeds the remaining time by this factor. */
 const SWEEP_TOLERANCE = 1.25;
-/** Refused callers come back spread over this share of the advised time. */
-const RETRY_SPREAD = 0.25;
-/** Time over which the rate of more urgent work is measured, in milliseconds. */
-const RATE_LIFE_MS = 3_000;
-/** Less urgent work is taken to get at least this share of the drain rate. */
-const LEAST_SHARE = 0.02;
+/** Random addition to the advised retry delay, as a fraction of it, so that callers spread out. */
+const RETRY_JITTER = 0.25;
+/** Time constant of the rate of more urgent work, in milliseconds. */
+const RATE_TIME_CONSTANT_MS = 3_000;
+/** Smallest fraction of the drain rate that less urgent work is assumed to get. */
+const MIN_DRAIN_SHARE = 0.02;
 const DEFAULT_SHARE_SLACK = 1.25;
-/** At most this share of an item's time is kept back for the upstream's own part. */
-const MOST_KEPT_BACK = 0.5;
-/** Advised when nothing has been measured yet, in milliseconds. */
-const DEFAULT_RETRY_MS = 1_000;
-/** Longest advised time, in milliseconds; a stuck upstream may be well again by then. */
-const LONGEST_RETRY_MS = 30_000;
-
-/** Creates the queue before one upstream. */
+/** Largest fraction of an item's remaining time that is reserved for its time to first byte. */
+const MAX_RESERVED_SHARE = 0.5;
+/** Advised retry delay before anything has been measured, in milliseconds. */
+const DEFAULT_RETRY_AFTER_MS = 1_000;
+/** Longest advised retry delay, in milliseconds; a stuck upstream may have recovered by then. */
+const MAX_RETRY_AFTER_MS = 30_000;
+
+/** Creates the admission queue of one upstream. */
 export const createAgentQueue = <T extends QueueItem>(
   options: AgentQueueOptions,
 ): AgentQueue<T> => {
   const { clock, random, capacity, concurrency } = options;
-  const shares = createShareMeter(clock, options.shareSlack ?? DEFAULT_SHARE_SLACK);
-  const ranked = createRankedQueue<T>(shares.isOver);
-  const servedByRank = createDecayedSums(clock, RATE_LIFE_MS);
+  const shareMeter = createShareMeter(clock, options.shareSlack ?? DEFAULT_SHARE_SLACK);
+  const rankedQueue = createRankedQueue<T>(shareMeter.isOverShare);
+  const servedByRank = createDecayedSums(clock, RATE_TIME_CONSTANT_MS);
   const waiting = new Map<string, { item: T; startBy: number }>();
-  const meter = createDrainMeter(clock, concurrency);
-  const firstBytes = createFirstByteMeter(clock);
-  /** Found too late by `take`; the next sweep hands them out. */
+  const drainMeter = createDrainMeter(clock, concurrency);
+  const firstByteMeter = createFirstByteMeter(clock);
+  /** Items that `take` found past their latest start; the next sweep returns them as rejected. */
   let expired: T[] = [];
   let leaving = false;
 
-  /** Cost that more urgent work takes a second. */
-  const urgentRate = (rank: number): number => {
-    let sum = 0;
-    for (let above = 0; above < rank; above += 1) sum += servedByRank.rateOf(String(above));
-    return 1000 * sum;
+  /** Cost per second of work that is more urgent than a rank. */
+  const urgentCostPerSecond = (rank: number): number => {
+    let urgentCost = 0;
+    for (let above = 0; above < rank; above += 1) urgentCost += servedByRank.rateOf(String(above));
+    return 1000 * urgentCost;
   };
 
-  /** Expected wait behind work of a cost, in milliseconds, at the measured drain rate. */
-  const expectedWaitBehind = (ahead: number, rank: number): number => {
-    const rate = meter.rate();
+  /** Expected wait behind work of the given cost, at the measured drain rate, in milliseconds. */
+  const expectedWaitBehind = (costAhead: number, rank: number): number => {
+    const rate = drainMeter.rate();
     if (rate.cost <= 0) return 0;
-    if (ahead === 0 && meter.running() < concurrency) return 0;
-    // More urgent work that arrives meanwhile goes first too: without it, the least urgent work is
-    // let in, waits for most of its time and is given up then.
-    const left = rate.cost - urgentRate(rank);
-    return (1000 * ahead) / Math.max(left, LEAST_SHARE * rate.cost) + 1000 / rate.requests;
+    if (costAhead === 0 && drainMeter.running() < concurrency) return 0;
+    // Cost per second that is left for this rank. More urgent work that arrives later is also
+    // served first; without counting it, the least urgent work would be admitted, wait for most of
+    // its time and then be rejected.
+    const availableCost = rate.cost - urgentCostPerSecond(rank);
+    return (
+      (1000 * costAhead) / Math.max(availableCost, MIN_DRAIN_SHARE * rate.cost) +
+      1000 / rate.requests
+    );
   };
 
   const expectedWait = (item: QueueItem): number =>
-    expectedWaitBehind(ranked.costAhead(item), ranked.rankOf(item));
+    expectedWaitBehind(rankedQueue.costAhead(item), rankedQueue.rankOf(item));
 
-  const spread = (ms: number): number => Math.ceil(ms * (1 + random() * RETRY_SPREAD));
+  const addJitter = (ms: number): number => Math.ceil(ms * (1 + random() * RETRY_JITTER));
 
-  /** Time until the queue has drained so far that a call like this one can meet its target. */
+  /** Time until the queue is short enough for a call like this one to meet its target. */
   const retryAfter = (waitMs: number, budgetMs: number): number => {
-    if (waitMs <= 0) return spread(DEFAULT_RETRY_MS);
-    return spread(Math.min(Math.max(waitMs - budgetMs, 1), LONGEST_RETRY_MS));
+    if (waitMs <= 0) return addJitter(DEFAULT_RETRY_AFTER_MS);
+    return addJitter(Math.min(Math.max(waitMs - budgetMs, 1), MAX_RETRY_AFTER_MS));
   };
 
   const reject = (item: T, reason: Rejected<T>['reason'], waitMs: number): Rejected<T> => {
-    const left = Math.max(0, item.deadline - clock.monotonic());
-    if (reason !== 'leaving') shares.refused();
-    return { item, reason, retryAfterMs: retryAfter(waitMs, left) };
+    const remainingMs = Math.max(0, item.deadline - clock.monotonic());
+    if (reason !== 'leaving') shareMeter.recordRefusal();
+    return { item, reason, retryAfterMs: retryAfter(waitMs, remainingMs) };
   };
 
   /**
-   * Monotonic time by which an item must start for its first byte to be in time. The bound on what
-   * is kept back lets work in even when the upstream alone takes longer than the target: otherwise
-   * nothing would ever start, and the measure could never fall again.
+   * Monotonic time by which an item must start for its first byte to arrive before the deadline.
+   * The reserved time is bounded, so that work is admitted even when the upstream alone takes
+   * longer than the target: otherwise nothing would start, and the measured time could never
+   * decrease.
    */
-  const startByOf = (item: T): number => {
-    const left = item.deadline - clock.monotonic();
-    return item.deadline - Math.min(firstBytes.expectedMs(item.class), left * MOST_KEPT_BACK);
+  const latestStart = (item: T): number => {
+    const remainingMs = item.deadline - clock.monotonic();
+    return (
+      item.deadline -
+      Math.min(firstByteMeter.expectedMs(item.class), remainingMs * MAX_RESERVED_SHARE)
+    );
   };
 
-  const forget = (item: T) => {
+  const removeWaiting = (item: T) => {
     waiting.delete(item.id);
-    ranked.remove(item);
+    rankedQueue.remove(item);
   };
 
   const add = (item: T) => {
-    waiting.set(item.id, { item, startBy: startByOf(item) });
-    ranked.push(item);
+    waiting.set(item.id, { item, startBy: latestStart(item) });
+    rankedQueue.push(item);
   };
 
   /**
-   * The item that makes room for a new one, from the organisation that holds most of the least
-   * urgent work. At the same rank only an organisation that holds more than the newcomer's would
-   * hold gives way, so that a flood costs its sender and nobody else.
+   * Selects the item to displace for a new one, from the largest backlog at the least urgent rank.
+   * At the same rank this backlog must be larger than that of the new item's organisation would be,
+   * so that an organisation that floods the queue displaces only its own work.
    */
-  const victimFor = (item: T): T | undefined => {
-    const least = ranked.leastUrgent();
-    if (!least) return undefined;
-    const rank = ranked.rankOf(item);
-    if (least.rank > rank) return least.last;
-    const own = ranked.backlogOf(item) + item.cost;
-    return least.rank === rank && least.cost > own ? least.last : undefined;
+  const selectVictim = (item: T): T | undefined => {
+    const leastUrgent = rankedQueue.leastUrgent();
+    if (!leastUrgent) return undefined;
+    const rank = rankedQueue.rankOf(item);
+    if (leastUrgent.rank > rank) return leastUrgent.last;
+    const ownBacklog = rankedQueue.backlogOf(item) + item.cost;
+    return leastUrgent.rank === rank && leastUrgent.cost > ownBacklog
+      ? leastUrgent.last
+      : undefined;
   };
 
-  const offerToFull = (item: T): Offer<T> => {
-    const victim = victimFor(item);
+  const offerWhenFull = (item: T): Offer<T> => {
+    const victim = selectVictim(item);
     if (!victim) {
       return { admitted: false, rejected: [reject(item, 'queue-full', expectedWait(item))] };
     }
     const waitMs = expectedWait(victim);
-    forget(victim);
+    removeWaiting(victim);
     add(item);
     return { admitted: true, rejected: [reject(victim, 'displaced', waitMs)] };
   };
 
-  /** The reason to give up an item that waits, if there is one. */
-  const hopeless = (item: T, waitMs: number): Rejected<T>['reason'] | undefined => {
-    const left = waiting.get(item.id)!.startBy - clock.monotonic();
-    if (left <= 0) return 'deadline-passed';
-    return waitMs > left * SWEEP_TOLERANCE ? 'deadline-unreachable' : undefined;
+  /** Reason to reject a waiting item, if there is one. */
+  const rejectionReason = (item: T, waitMs: number): Rejected<T>['reason'] | undefined => {
+    const remainingMs = waiting.get(item.id)!.startBy - clock.monotonic();
+    if (remainingMs <= 0) return 'deadline-passed';
+    return waitMs > remainingMs * SWEEP_TOLERANCE ? 'deadline-unreachable' : undefined;
   };
 
-  const giveUpHopeless = (): Rejected<T>[] => {
-    const given: Rejected<T>[] = [];
-    ranked.review((item, rank, ahead) => {
-      const waitMs = expectedWaitBehind(ahead, rank);
-      const reason = hopeless(item, waitMs);
-      if (reason) given.push(reject(item, reason, waitMs));
+  const rejectUnreachable = (): Rejected<T>[] => {
+    const rejected: Rejected<T>[] = [];
+    rankedQueue.visitAll((item, rank, costAhead) => {
+      const waitMs = expectedWaitBehind(costAhead, rank);
+      const reason = rejectionReason(item, waitMs);
+      if (reason) rejected.push(reject(item, reason, waitMs));
       return !reason;
     });
-    given.forEach(({ item }) => forget(item));
-    return given;
+    rejected.forEach(({ item }) => removeWaiting(item));
+    return rejected;
   };
 
-  const takeExpired = (): Rejected<T>[] => {
-    const given = expired.map((item) => reject(item, 'deadline-passed', expectedWait(item)));
+  const rejectExpired = (): Rejected<T>[] => {
+    const rejected = expired.map((item) => reject(item, 'deadline-passed', expectedWait(item)));
     expired = [];
-    return given;
+    return rejected;
   };
 
   const takeNext = (): T | undefined => {
-    const item = ranked.pop();
+    const item = rankedQueue.pop();
     if (!item) return undefined;
     const { startBy } = waiting.get(item.id)!;
     waiting.delete(item.id);
@@ -165,24 +177,24 @@
   };
 
   const start = (item: T) => {
-    servedByRank.add(String(ranked.rankOf(item)), item.cost);
-    shares.served(item.organisation, item.cost);
-    meter.started(item.id, item.cost);
-    firstBytes.started(item.id, item.class);
+    servedByRank.add(String(rankedQueue.rankOf(item)), item.cost);
+    shareMeter.recordServed(item.organisation, item.cost);
+    drainMeter.recordStart(item.id, item.cost);
+    firstByteMeter.recordStart(item.id, item.class);
   };
 
   return {
     offer: (item) => {
       if (leaving) return { admitted: false, rejected: [reject(item, 'leaving', 0)] };
-      const left = startByOf(item) - clock.monotonic();
+      const remainingMs = latestStart(item) - clock.monotonic();
       const waitMs = expectedWait(item);
-      if (left <= 0) {
+      if (remainingMs <= 0) {
         return { admitted: false, rejected: [reject(item, 'deadline-passed', waitMs)] };
       }
-      if (waitMs > left) {
+      if (waitMs > remainingMs) {
         return { admitted: false, rejected: [reject(item, 'deadline-unreachable', waitMs)] };
       }
-      if (waiting.size >= capacity) return offerToFull(item);
+      if (waiting.size >= capacity) return offerWhenFull(item);
       add(item);
       return { admitted: true, rejected: [] };
     },
@@ -193,27 +205,27 @@
     },
     cancel: (id) => {
       const item = waiting.get(id)?.item;
-      if (item) forget(item);
+      if (item) removeWaiting(item);
       return item;
     },
-    answering: (id) => firstBytes.firstByte(id),
+    answering: (id) => firstByteMeter.recordFirstByte(id),
     finished: (id) => {
-      firstBytes.ended(id);
-      meter.finished(id, waiting.size > 0);
+      firstByteMeter.forget(id);
+      drainMeter.recordEnd(id, waiting.size > 0);
     },
-    sweep: () => [...takeExpired(), ...giveUpHopeless()],
+    sweep: () => [...rejectExpired(), ...rejectUnreachable()],
     leave: () => {
       leaving = true;
-      const given = [...waiting.values()].map(({ item }) => reject(item, 'leaving', 0));
-      given.forEach(({ item }) => forget(item));
-      return [...takeExpired(), ...given];
+      const rejected = [...waiting.values()].map(({ item }) => reject(item, 'leaving', 0));
+      rejected.forEach(({ item }) => removeWaiting(item));
+      return [...rejectExpired(), ...rejected];
     },
     load: () => {
-      const rate = meter.rate();
+      const rate = drainMeter.rate();
       return {
         queued: waiting.size,
-        running: meter.running(),
-        queuedCost: ranked.cost(),
+        running: drainMeter.running(),
+        queuedCost: rankedQueue.cost(),
         drainPerSecond: rate.requests,
         drainCostPerSecond: rate.cost,
         leaving,
--- a/packages/requests/src/queue/decayed-sums.ts
+++ b/packages/requests/src/queue/decayed-sums.ts
@@ -1,50 +1,53 @@
 import type { Clock } from '@plantaindrum/common';
 
-/** Sums by name that fade with age: what happened `lifeMs` ago counts 1/e. */
+/** Exponentially decaying sums by name: an amount added `timeConstantMs` ago counts 1/e. */
 export interface DecayedSums {
+  /** Adds an amount to the sum of a name. */
   add(name: string, amount: number): void;
-  /** The faded sum of a name. */
-  of(name: string): number;
-  /** The mean rate of a name over the life of the sums, per millisecond. */
+  /** Decayed sum of a name. */
+  sumOf(name: string): number;
+  /** Mean rate of a name over the time constant, per millisecond. */
   rateOf(name: string): number;
+  /** Names whose sums are not negligible. */
   names(): string[];
 }
 
-/** Below this a name is forgotten. */
+/** A name is dropped when its sum falls below this. */
 const NEGLIGIBLE = 1e-3;
-/** A rate is taken over at least this share of the life. */
-const LEAST_COVERED = 0.2;
+/** A rate covers at least this fraction of the time constant. */
+const MIN_COVERED_SHARE = 0.2;
 
 /** Creates empty sums. */
-export const createDecayedSums = (clock: Clock, lifeMs: number): DecayedSums => {
+export const createDecayedSums = (clock: Clock, timeConstantMs: number): DecayedSums => {
   const sums = new Map<string, { value: number; at: number }>();
-  let begunAt: number | undefined;
+  let firstAddedAt: number | undefined;
 
-  const faded = ({ value, at }: { value: number; at: number }, now: number): number =>
-    value * Math.exp((at - now) / lifeMs);
+  const decayedValue = ({ value, at }: { value: number; at: number }, now: number): number =>
+    value * Math.exp((at - now) / timeConstantMs);
 
-  const of = (name: string): number => {
+  const sumOf = (name: string): number => {
     const sum = sums.get(name);
-    return sum ? faded(sum, clock.monotonic()) : 0;
+    return sum ? decayedValue(sum, clock.monotonic()) : 0;
   };
 
   return {
     add: (name, amount) => {
-      begunAt ??= clock.monotonic();
-      const value = of(name) + amount;
+      firstAddedAt ??= clock.monotonic();
+      const value = sumOf(name) + amount;
       sums.set(name, { value, at: clock.monotonic() });
     },
-    of,
+    sumOf,
     rateOf: (name) => {
-      // Young sums cover less than their life: over the whole of it the rate would look too low.
-      const age = clock.monotonic() - (begunAt ?? clock.monotonic());
-      const covered = lifeMs * (1 - Math.exp(-age / lifeMs));
-      return of(name) / Math.max(covered, LEAST_COVERED * lifeMs);
+      // New sums cover less than the time constant; dividing by all of it would give too low a
+      // rate.
+      const elapsedMs = clock.monotonic() - (firstAddedAt ?? clock.monotonic());
+      const coveredMs = timeConstantMs * (1 - Math.exp(-elapsedMs / timeConstantMs));
+      return sumOf(name) / Math.max(coveredMs, MIN_COVERED_SHARE * timeConstantMs);
     },
     names: () => {
       const now = clock.monotonic();
       sums.forEach((sum, name) => {
-        if (faded(sum, now) < NEGLIGIBLE) sums.delete(name);
+        if (decayedValue(sum, now) < NEGLIGIBLE) sums.delete(name);
       });
       return [...sums.keys()];
     },
--- a/packages/requests/src/queue/drain-meter.ts
+++ b/packages/requests/src/queue/drain-meter.ts
@@ -1,25 +1,25 @@
 import type { Clock } from '@plantaindrum/common';
 import { createDecayedSums } from './decayed-sums.js';
 
-/** Measures how fast an upstream works off its queue. */
+/** Measures the drain rate of an upstream. */
 export interface DrainMeter {
-  started(id: string, cost: number): void;
-  /** `backlogged`: others were waiting while this one ran, so the upstream had all it can take. */
-  finished(id: string, backlogged: boolean): void;
+  recordStart(id: string, cost: number): void;
+  /** `backlogged`: other requests were waiting, so the upstream was fully used. */
+  recordEnd(id: string, backlogged: boolean): void;
   running(): number;
-  /** Requests and cost served a second; both 0 before the first end. */
+  /** Requests and cost per second; both 0 before the first request has ended. */
   rate(): { requests: number; cost: number };
 }
 
-/** Weight of the newest sample in the smoothed service time and cost. */
+/** Weight of the latest sample in the moving averages of service time and cost. */
 const SMOOTHING = 0.05;
-/** Time over which the throughput is measured, in milliseconds. */
-const THROUGHPUT_LIFE_MS = 3_000;
+/** Time constant of the measured throughput, in milliseconds. */
+const THROUGHPUT_TIME_CONSTANT_MS = 3_000;
 
-/** An upstream is stuck when nothing ends in the time that so many rounds of its slots take. */
+/** An upstream is stuck when nothing ends for this multiple of the time to serve all slots once. */
 const STUCK_ROUNDS = 2;
 
-/** Requests and cost a second. */
+/** Requests and cost per second. */
 interface Rate {
   requests: number;
   cost: number;
@@ -29,72 +29,72 @@
   old === undefined ? sample : old + SMOOTHING * (sample - old);
 
 /**
- * Creates a meter. While work waits, the rate is the measured throughput: what ended over the time
- * that passed, both fading alike. The mean of the gaps between ends would swing with engines whose
- * requests end in bursts, and let work in that the next sweep gives up. Without a backlog the ends
- * only show how much arrives, so the rate is then the number of slots over the service time.
+ * Creates a meter. With a backlog, the rate is the measured throughput: ended requests divided by
+ * elapsed time, both with the same decay. The mean gap between ends would swing with engines whose
+ * requests end in bursts, and admit work that the next sweep rejects. Without a backlog, the ends
+ * only show the arrival rate, so the rate is the number of slots divided by the service time.
  */
 export const createDrainMeter = (clock: Clock, concurrency: number): DrainMeter => {
-  const active = new Map<string, { cost: number; at: number }>();
-  const throughput = createDecayedSums(clock, THROUGHPUT_LIFE_MS);
+  const active = new Map<string, { cost: number; startedAt: number }>();
+  const throughput = createDecayedSums(clock, THROUGHPUT_TIME_CONSTANT_MS);
   let meanCost: number | undefined;
   let serviceMs: number | undefined;
-  let lastBackloggedEnd: number | undefined;
+  let lastBackloggedEndAt: number | undefined;
 
   const sampleThroughput = (now: number, cost: number, backlogged: boolean) => {
     if (!backlogged) {
-      lastBackloggedEnd = undefined;
+      lastBackloggedEndAt = undefined;
       return;
     }
-    if (lastBackloggedEnd !== undefined) {
-      throughput.add('ms', now - lastBackloggedEnd);
+    if (lastBackloggedEndAt !== undefined) {
+      throughput.add('ms', now - lastBackloggedEndAt);
       throughput.add('requests', 1);
       throughput.add('cost', cost);
     }
-    lastBackloggedEnd = now;
+    lastBackloggedEndAt = now;
   };
 
-  const measured = (): Rate => {
-    const perSecond = 1000 / Math.max(throughput.of('ms'), 0.01);
+  const measuredRate = (): Rate => {
+    const perSecond = 1000 / Math.max(throughput.sumOf('ms'), 0.01);
     return {
-      requests: throughput.of('requests') * perSecond,
-      cost: throughput.of('cost') * perSecond,
+      requests: throughput.sumOf('requests') * perSecond,
+      cost: throughput.sumOf('cost') * perSecond,
     };
   };
 
-  const bySlots = (): Rate => {
+  const rateFromSlots = (): Rate => {
     if (serviceMs === undefined) return { requests: 0, cost: 0 };
     const requests = (1000 * concurrency) / Math.max(serviceMs, 0.01);
     return { requests, cost: requests * (meanCost ?? 0) };
   };
 
-  /** Lowers a rate when nothing has ended for so long that the upstream must be stuck. */
-  const unlessStuck = (rate: Rate, silentMs: number): Rate => {
+  /** Reduces a rate when nothing has ended for so long that the upstream must be stuck. */
+  const reduceIfStuck = (rate: Rate, sinceLastEndMs: number): Rate => {
     const roundMs = (1000 * concurrency) / rate.requests;
-    if (rate.requests <= 0 || silentMs <= STUCK_ROUNDS * roundMs) return rate;
-    const factor = roundMs / silentMs;
+    if (rate.requests <= 0 || sinceLastEndMs <= STUCK_ROUNDS * roundMs) return rate;
+    const factor = roundMs / sinceLastEndMs;
     return { requests: rate.requests * factor, cost: rate.cost * factor };
   };
 
   return {
-    started: (id, cost) => {
-      active.set(id, { cost, at: clock.monotonic() });
+    recordStart: (id, cost) => {
+      active.set(id, { cost, startedAt: clock.monotonic() });
     },
-    finished: (id, backlogged) => {
-      const run = active.get(id);
-      if (!run) return;
+    recordEnd: (id, backlogged) => {
+      const request = active.get(id);
+      if (!request) return;
       active.delete(id);
       const now = clock.monotonic();
-      meanCost = smooth(meanCost, run.cost);
-      serviceMs = smooth(serviceMs, now - run.at);
-      sampleThroughput(now, run.cost, backlogged);
+      meanCost = smooth(meanCost, request.cost);
+      serviceMs = smooth(serviceMs, now - request.startedAt);
+      sampleThroughput(now, request.cost, backlogged);
     },
     running: () => active.size,
     rate: () => {
-      if (lastBackloggedEnd === undefined) return bySlots();
-      const isMeasured = throughput.of('requests') >= concurrency;
-      const silentMs = clock.monotonic() - lastBackloggedEnd;
-      return unlessStuck(isMeasured ? measured() : bySlots(), silentMs);
+      if (lastBackloggedEndAt === undefined) return rateFromSlots();
+      const isMeasured = throughput.sumOf('requests') >= concurrency;
+      const sinceLastEndMs = clock.monotonic() - lastBackloggedEndAt;
+      return reduceIfStuck(isMeasured ? measuredRate() : rateFromSlots(), sinceLastEndMs);
     },
   };
 };
--- a/packages/requests/src/queue/fair-group.ts
+++ b/packages/requests/src/queue/fair-group.ts
@@ -1,43 +1,45 @@
 import type { QueueItem } from './types.js';
 
-/** What waits for one organisation, earliest deadline first. */
+/** Waiting items of one organisation, earliest deadline first. */
 interface Backlog<T extends QueueItem> {
   organisation: string;
   items: T[];
   cost: number;
-  /** Cost that it may still take in its turn. */
+  /** Cost that the organisation may still take in its turn. */
   deficit: number;
-  /** Its turn has begun: it has had its quantum. */
-  inTurn: boolean;
+  /** Whether the quantum of the current turn has been added. */
+  hasQuantum: boolean;
 }
 
-/** Which organisations a call is about. */
-export type Belongs = (organisation: string) => boolean;
+/** Selects the organisations that an operation covers. */
+export type OrganisationFilter = (organisation: string) => boolean;
 
 /**
- * Work of several organisations that share an upstream fairly: deficit round robin over
- * organisations (Shreedhar and Varghese, 1995), earliest deadline first within each.
+ * Fair queue of several organisations: deficit round robin between organisations (Shreedhar and
+ * Varghese, 1995), earliest deadline first within each.
  */
 export interface FairGroup<T extends QueueItem> {
   push(item: T): void;
-  pop(belongs?: Belongs): T | undefined;
+  pop(includes?: OrganisationFilter): T | undefined;
   remove(item: T): boolean;
-  cost(belongs?: Belongs): number;
-  /** Cost that fair shares put before an item, or before a new one of its deadline. */
-  costAhead(item: QueueItem, belongs?: Belongs): number;
+  cost(includes?: OrganisationFilter): number;
+  /** Cost that is served before an item, or before a new one with its deadline. */
+  costAhead(item: QueueItem, includes?: OrganisationFilter): number;
   /**
-   * Visits each item with the cost ahead of it in this group; what `visit` doesn't want to keep
-   * counts no more for those behind it. Answers the cost that is kept; takes nothing out itself.
+   * Calls `visit` for each item with the cost ahead of it in this queue. An item for which it
+   * returns false doesn't count for the items behind it. Returns the cost of the other items;
+   * removes nothing.
    */
-  review(belongs: Belongs, visit: (item: T, ahead: number) => boolean): number;
-  /** Organisations with work here. */
+  visitAll(includes: OrganisationFilter, visit: (item: T, ahead: number) => boolean): number;
+  /** Organisations with waiting items. */
   organisations(): string[];
+  /** Cost of an organisation's waiting items. */
   backlogOf(organisation: string): number;
-  /** The largest backlog, and its item with the latest deadline. */
-  heaviest(belongs?: Belongs): { cost: number; last: T } | undefined;
+  /** Cost of the largest backlog, and its item with the latest deadline. */
+  largestBacklog(includes?: OrganisationFilter): { cost: number; last: T } | undefined;
 }
 
-/** Weight of the newest item in the mean cost. */
+/** Weight of the latest item in the moving average of the cost. */
 const SMOOTHING = 0.05;
 
 const insertByDeadline = <T extends QueueItem>(items: T[], item: T) => {
@@ -61,27 +63,27 @@
   return sum;
 };
 
-const everyone: Belongs = () => true;
+const includeAll: OrganisationFilter = () => true;
 
-/** Creates an empty group. */
+/** Creates an empty queue. */
 export const createFairGroup = <T extends QueueItem>(): FairGroup<T> => {
   const backlogs = new Map<string, Backlog<T>>();
-  /** Organisations with work, in the order of their turns. */
-  const turns: Backlog<T>[] = [];
+  /** Organisations with waiting items, in round-robin order. */
+  const rotation: Backlog<T>[] = [];
   let meanCost = 1;
 
-  const retire = (backlog: Backlog<T>) => {
+  const removeBacklog = (backlog: Backlog<T>) => {
     backlogs.delete(backlog.organisation);
-    turns.splice(turns.indexOf(backlog), 1);
+    rotation.splice(rotation.indexOf(backlog), 1);
   };
 
-  /** Takes out the item at `index`; an organisation without work gives up its turn. */
-  const takeAt = (organisation: string, index: number): T | undefined => {
+  /** Removes the item at `index`, and the organisation's backlog when it becomes empty. */
+  const removeAt = (organisation: string, index: number): T | undefined => {
     const backlog = backlogs.get(organisation);
     const [item] = backlog?.items.splice(index, 1) ?? [];
     if (!backlog || !item) return undefined;
     backlog.cost -= item.cost;
-    if (backlog.items.length === 0) retire(backlog);
+    if (backlog.items.length === 0) removeBacklog(backlog);
     return item;
   };
 
@@ -95,59 +97,66 @@
           items: [],
           cost: 0,
           deficit: 0,
-          inTurn: false,
+          hasQuantum: false,
         };
         backlogs.set(item.organisation, backlog);
-        turns.push(backlog);
+        rotation.push(backlog);
       }
       insertByDeadline(backlog.items, item);
       backlog.cost += item.cost;
     },
-    pop: (belongs = everyone) => {
-      if (!turns.some(({ organisation }) => belongs(organisation))) return undefined;
+    pop: (includes = includeAll) => {
+      if (!rotation.some(({ organisation }) => includes(organisation))) return undefined;
       for (;;) {
-        const front = turns[0]!;
+        const front = rotation[0]!;
         const { cost } = front.items[0]!;
-        const mayTake = belongs(front.organisation);
-        if (mayTake && !front.inTurn) {
-          front.inTurn = true;
-          // The quantum follows the mean cost, so that a turn is about one request long.
+        const isIncluded = includes(front.organisation);
+        if (isIncluded && !front.hasQuantum) {
+          front.hasQuantum = true;
+          // The quantum is the mean cost, so that a turn is about one request long.
           front.deficit += Math.max(1, meanCost);
         }
-        if (mayTake && front.deficit >= cost) {
+        if (isIncluded && front.deficit >= cost) {
           front.deficit -= cost;
-          return takeAt(front.organisation, 0);
+          return removeAt(front.organisation, 0);
         }
-        front.inTurn = false;
-        turns.push(turns.shift()!);
+        front.hasQuantum = false;
+        rotation.push(rotation.shift()!);
       }
     },
     remove: (item) => {
       const index = backlogs.get(item.organisation)?.items.indexOf(item) ?? -1;
-      return index >= 0 && takeAt(item.organisation, index) !== undefined;
+      return index >= 0 && removeAt(item.organisation, index) !== undefined;
     },
-    cost: (belongs = everyone) =>
-      turns.reduce((sum, { organisation, cost }) => sum + (belongs(organisation) ? cost : 0), 0),
-    costAhead: (item, belongs = everyone) => {
-      const own = costUpTo(backlogs.get(item.organisation)?.items ?? [], item.deadline, item.id);
-      const share = own + item.cost;
-      return turns.reduce((sum, { organisation, cost }) => {
-        if (organisation === item.organisation) return sum + own;
-        return sum + (belongs(organisation) ? Math.min(cost, share) : 0);
+    cost: (includes = includeAll) =>
+      rotation.reduce(
+        (sum, { organisation, cost }) => sum + (includes(organisation) ? cost : 0),
+        0,
+      ),
+    costAhead: (item, includes = includeAll) => {
+      const ownAhead = costUpTo(
+        backlogs.get(item.organisation)?.items ?? [],
+        item.deadline,
+        item.id,
+      );
+      const shareCap = ownAhead + item.cost;
+      return rotation.reduce((sum, { organisation, cost }) => {
+        if (organisation === item.organisation) return sum + ownAhead;
+        return sum + (includes(organisation) ? Math.min(cost, shareCap) : 0);
       }, 0);
     },
-    review: (belongs, visit) => {
-      const inside = turns.filter(({ organisation }) => belongs(organisation));
-      const costs = inside.map(({ cost }) => cost);
-      inside.forEach(({ items }, index) => {
-        let own = 0;
+    visitAll: (includes, visit) => {
+      const included = rotation.filter(({ organisation }) => includes(organisation));
+      const costs = included.map(({ cost }) => cost);
+      included.forEach(({ items }, index) => {
+        let ownAhead = 0;
         items.forEach((item) => {
-          const share = own + item.cost;
-          let ahead = own;
+          const shareCap = ownAhead + item.cost;
+          let ahead = ownAhead;
           costs.forEach((cost, other) => {
-            if (other !== index) ahead += Math.min(cost, share);
+            if (other !== index) ahead += Math.min(cost, shareCap);
           });
-          if (visit(item, ahead)) own = share;
+          if (visit(item, ahead)) ownAhead = shareCap;
           else costs[index]! -= item.cost;
         });
       });
@@ -155,9 +164,9 @@
     },
     organisations: () => [...backlogs.keys()],
     backlogOf: (organisation) => backlogs.get(organisation)?.cost ?? 0,
-    heaviest: (belongs = everyone) => {
-      const [found] = turns
-        .filter(({ organisation }) => belongs(organisation))
+    largestBacklog: (includes = includeAll) => {
+      const [found] = rotation
+        .filter(({ organisation }) => includes(organisation))
         .sort((a, b) => b.cost - a.cost);
       return found && { cost: found.cost, last: found.items.at(-1)! };
     },
--- a/packages/requests/src/queue/share-meter.ts
+++ b/packages/requests/src/queue/share-meter.ts
@@ -1,31 +1,31 @@
 import type { Clock } from '@plantaindrum/common';
 import { createDecayedSums } from './decayed-sums.js';
 
-/** Tells which organisations have had more than their fair share of an upstream lately. */
+/** Tells which organisations recently used more than their fair share of an upstream. */
 export interface ShareMeter {
-  /** Work of the organisation was started. */
-  served(organisation: string, cost: number): void;
-  /** Work was refused or given up: there is not enough for all. */
-  refused(): void;
-  isOver(organisation: string): boolean;
+  /** Records that an item of the organisation was started. */
+  recordServed(organisation: string, cost: number): void;
+  /** Records a rejected item, which means that the upstream is overloaded. */
+  recordRefusal(): void;
+  isOverShare(organisation: string): boolean;
 }
 
-/** Time over which shares are compared, in milliseconds. */
-const SHARE_LIFE_MS = 10_000;
-/** Shares matter until this long after the last refusal, in milliseconds. */
+/** Time constant of the usage that is compared, in milliseconds. */
+const USAGE_TIME_CONSTANT_MS = 10_000;
+/** The upstream counts as overloaded for this long after the last rejection, in milliseconds. */
 const OVERLOAD_MS = 5_000;
-/** The verdicts are worked out anew this often, in milliseconds. */
+/** Interval after which the result is computed again, in milliseconds. */
 const REFRESH_MS = 50;
 
 /**
- * Creates the meter. `slack`: an organisation is over its share above this multiple of the mean.
- * While nothing is refused nobody is over: a large organisation may then use what others leave, and
- * its live work keeps its precedence.
+ * Creates the meter. An organisation is over its share when its usage exceeds `slack` times the
+ * mean. Without rejections none is over its share: a large organisation may use the capacity that
+ * others leave, and its live work keeps its precedence.
  */
 export const createShareMeter = (clock: Clock, slack: number): ShareMeter => {
-  const usage = createDecayedSums(clock, SHARE_LIFE_MS);
+  const usage = createDecayedSums(clock, USAGE_TIME_CONSTANT_MS);
   let refusedAt = -Infinity;
-  let over = new Set<string>();
+  let overShare = new Set<string>();
   let refreshedAt = -Infinity;
 
   const refresh = () => {
@@ -33,20 +33,20 @@
     if (now - refreshedAt < REFRESH_MS) return;
     refreshedAt = now;
     const names = usage.names();
-    const shares = names.map((name) => usage.of(name));
-    const mean = shares.reduce((sum, share) => sum + share, 0) / Math.max(1, names.length);
-    over = new Set(names.filter((_, n) => shares[n]! > slack * mean));
+    const usages = names.map((name) => usage.sumOf(name));
+    const mean = usages.reduce((sum, value) => sum + value, 0) / Math.max(1, names.length);
+    overShare = new Set(names.filter((_, n) => usages[n]! > slack * mean));
   };
 
   return {
-    served: (organisation, cost) => usage.add(organisation, cost),
-    refused: () => {
+    recordServed: (organisation, cost) => usage.add(organisation, cost),
+    recordRefusal: () => {
       refusedAt = clock.monotonic();
     },
-    isOver: (organisation) => {
+    isOverShare: (organisation) => {
       if (clock.monotonic() - refusedAt > OVERLOAD_MS) return false;
       refresh();
-      return over.has(organisation);
+      return overShare.has(organisation);
     },
   };
 };
--- a/packages/requests/src/queue/types.ts
+++ b/packages/requests/src/queue/types.ts
@@ -1,63 +1,67 @@
 import type { AgentReason } from '@plantaindrum/link';
 import type { Lane } from '../outcomes.js';
 
-/** Work that waits at an agent. */
+/** A unit of work in an agent's queue. */
 export interface QueueItem {
   /** Unique, for example the attempt's id. */
   id: string;
   organisation: string;
   class: string;
   lane: Lane;
-  /** Expected cost, for example tokens; plain calls cost 1. At least 1. */
+  /** Expected cost, for example in tokens; 1 for plain calls, and never less. */
   cost: number;
-  /** Monotonic time by which the first byte of its answer is due, in milliseconds. */
+  /** Monotonic time by which the first byte of the answer is due, in milliseconds. */
   deadline: number;
 }
 
-/** An item that leaves the queue without having run. */
+/** An item that was rejected without having run. */
 export interface Rejected<T extends QueueItem> {
   item: T;
   reason: Extract<
     AgentReason,
     'queue-full' | 'deadline-unreachable' | 'deadline-passed' | 'leaving' | 'displaced'
   >;
-  /** When the caller should come back, from the measured drain rate. */
+  /** Advised delay before a retry, from the measured drain rate, in milliseconds. */
   retryAfterMs: number;
 }
 
-/** Outcome of an offer: admitted or not, and whom it pushed out. All of `rejected` never ran. */
+/** Result of offering an item to the queue. No item in `rejected` has run. */
 export interface Offer<T extends QueueItem> {
   admitted: boolean;
-  /** The item itself when refused, or the less urgent work that it displaced. */
+  /** The item itself if it was rejected, or the less urgent item that it displaced. */
   rejected: Rejected<T>[];
 }
 
-/** The queue before one upstream. */
+/** Admission queue in front of one upstream. */
 export interface AgentQueue<T extends QueueItem> {
+  /** Admits or rejects an item. */
   offer(item: T): Offer<T>;
-  /** The next item to start; it counts as running until `finished`. */
+  /** Takes the next item to start; it counts as running until `finished`. */
   take(): T | undefined;
-  /** Takes a waiting item out; undefined when it isn't waiting. */
+  /** Removes a waiting item; undefined when it isn't waiting. */
   cancel(id: string): T | undefined;
-  /** First byte of a taken item's answer; feeds the time that is kept back for it. */
+  /** Records the first byte of a running item, to estimate the time to first byte. */
   answering(id: string): void;
-  /** A taken item has ended; feeds the measured drain rate. */
+  /** Records the end of a running item, to measure the drain rate. */
   finished(id: string): void;
-  /** Gives up waiting items that can't meet their deadline any more; call it every 100 ms or so. */
+  /**
+   * Rejects waiting items that can no longer meet their deadline; to be called about every 100 ms.
+   */
   sweep(): Rejected<T>[];
-  /** Stops admitting and gives back everything that waits. */
+  /** Stops admission and rejects everything that waits. */
   leave(): Rejected<T>[];
+  /** Current load. */
   load(): QueueLoad;
 }
 
-/** State of a queue, for heartbeats and `status`. */
+/** Load of a queue, for heartbeats and `status`. */
 export interface QueueLoad {
   queued: number;
   running: number;
   queuedCost: number;
-  /** Requests served a second, smoothed; 0 until anything has been measured. */
+  /** Smoothed drain rate in requests per second; 0 until measured. */
   drainPerSecond: number;
-  /** Cost served a second, smoothed; 0 until anything has been measured. */
+  /** Smoothed drain rate in cost per second; 0 until measured. */
   drainCostPerSecond: number;
   leaving: boolean;
 }
--- a/packages/requests/src/retry/retry-policy.ts
+++ b/packages/requests/src/retry/retry-policy.ts
@@ -4,19 +4,21 @@
 /** Settings of a retry policy. */
 export interface RetryPolicyOptions {
   clock: Clock;
-  /** Retries that each first dispatch earns. */
+  /** Retries that each first dispatch adds to the budget. */
   budgetShare?: number;
-  /** Most retries saved up. */
+  /** Largest budget, in retries. */
   burst?: number;
-  /** Retries earned a second without any traffic, so that a quiet site can retry too. */
+  /**
+   * Retries added per second regardless of traffic, so that a site with little traffic can retry.
+   */
   minPerSecond?: number;
-  /** Most dispatches of one request. */
+  /** Largest number of dispatches of one request. */
   maxAttempts?: number;
-  /** Least time that must be left for a retry to make sense, in milliseconds. */
+  /** No retry when less time than this is left, in milliseconds. */
   minRemainingMs?: number;
 }
 
-/** Another upstream would answer the same, or the caller has gone. */
+/** Reasons without a retry: another upstream would answer the same, or the caller disconnected. */
 const FINAL_REASONS: ReadonlySet<FailedAttempt['reason']> = new Set([
   'cancelled',
   'claim-log-down',
@@ -29,9 +31,9 @@
 ]);
 
 /**
- * Creates the retry policy of one entry. The budget keeps retries to a share of the requests: with
- * all upstreams failing, retries without a budget multiply the load by the number of attempts, and
- * the overload outlives its cause.
+ * Creates the retry policy of one entry. The budget limits retries to a fraction of the requests.
+ * Without it, retries multiply the load by the number of attempts when all upstreams fail, and the
+ * overload outlasts its cause.
  */
 export const createRetryPolicy = (options: RetryPolicyOptions): RetryPolicy => {
   const { clock, budgetShare = 0.1, burst = 10, minPerSecond = 1 } = options;
@@ -45,8 +47,8 @@
     refilledAt = now;
   };
 
-  /** Why no retry is allowed, whatever the budget holds. */
-  const obstacle = (failed: FailedAttempt): NoRetryReason | undefined => {
+  /** Reason against a retry that doesn't depend on the budget. */
+  const blocker = (failed: FailedAttempt): NoRetryReason | undefined => {
     if (failed.outcome === 'unknown' && failed.mayNotRepeat) return 'may-not-repeat';
     if (FINAL_REASONS.has(failed.reason)) return 'final-reason';
     if (failed.answerBegun && failed.resumeAfter === undefined) return 'answer-begun';
@@ -55,11 +57,11 @@
     return undefined;
   };
 
-  /** What a leaving upstream gives back is planned and comes once: it must not drain the budget. */
+  /** Work that a leaving upstream returns is expected and comes once, so it isn't charged. */
   const isFree = (failed: FailedAttempt) =>
     failed.reason === 'leaving' && failed.outcome === 'not-run';
 
-  const spend = (): boolean => {
+  const spendToken = (): boolean => {
     refill();
     if (tokens < 1) return false;
     tokens -= 1;
@@ -72,9 +74,9 @@
       tokens = Math.min(burst, tokens + budgetShare);
     },
     decide: (failed): RetryDecision => {
-      const reason = obstacle(failed);
+      const reason = blocker(failed);
       if (reason) return { retry: false, reason };
-      if (!isFree(failed) && !spend()) return { retry: false, reason: 'budget-spent' };
+      if (!isFree(failed) && !spendToken()) return { retry: false, reason: 'budget-spent' };
       return failed.resumeAfter === undefined
         ? { retry: true }
         : { retry: true, resumeAfter: failed.resumeAfter };
--- a/packages/requests/src/retry/types.ts
+++ b/packages/requests/src/retry/types.ts
@@ -1,19 +1,19 @@
 import type { AgentReason } from '@plantaindrum/link';
 import type { Outcome } from '../outcomes.js';
 
-/** What is known when an attempt has failed. */
+/** Facts about a failed attempt. */
 export interface FailedAttempt {
   outcome: Exclude<Outcome, 'answered'>;
-  /** The agent's reason, or the entry's own. */
+  /** Reason from the agent or, when it sent none, from the entry. */
   reason: AgentReason | 'link-lost' | 'agent-gone' | 'send-failed' | 'no-first-byte';
   mayNotRepeat: boolean;
-  /** Attempts made so far, this one included. */
+  /** Number of attempts so far, including this one. */
   attempts: number;
   /** Monotonic time by which the answer (or first token) is due, in milliseconds. */
   deadline: number;
-  /** Event id of the last token that went to the caller, when the answer can be resumed after it. */
+  /** Event id of the last token sent to the caller, if the answer can be resumed after it. */
   resumeAfter?: string;
-  /** Whether any byte of the answer has gone to the caller. */
+  /** Whether any byte of the answer has been sent to the caller. */
   answerBegun: boolean;
 }
 
@@ -26,14 +26,14 @@
   | 'attempts-spent'
   | 'budget-spent';
 
-/** Whether to dispatch again. */
+/** Whether to dispatch the request again. */
 export type RetryDecision =
   { retry: true; resumeAfter?: string } | { retry: false; reason: NoRetryReason };
 
 /** Decides on retries for one entry. */
 export interface RetryPolicy {
-  /** Every first dispatch earns a share of a retry. */
+  /** Records the first dispatch of a request, which adds to the retry budget. */
   requested(): void;
-  /** Decides, and spends from the budget when the answer is yes. */
+  /** Decides whether to retry; a retry is charged to the budget. */
   decide(failed: FailedAttempt): RetryDecision;
 }
--- a/packages/requests/src/routing/hash.ts
+++ b/packages/requests/src/routing/hash.ts
@@ -20,9 +20,12 @@
 /** Combines two hashes into one; the order matters. */
 export const combineHashes = (a: number, b: number): number => mix((Math.imul(a, 31) + b) >>> 0);
 
-/** Characters of a prompt that make its prefix; shared instructions are usually longer. */
+/**
+ * Length of the prompt prefix that is hashed, in characters; shared instructions are usually
+ * longer.
+ */
 const PREFIX_CHARACTERS = 256;
 
-/** The key by which requests with the same start of the prompt meet the same cache. */
+/** Affinity key: prompts with the same prefix get the same key, and so reach the same cache. */
 export const prefixHash = (prompt: string): string =>
   hashText(prompt.slice(0, PREFIX_CHARACTERS)).toString(36);
--- a/packages/requests/src/routing/health.ts
+++ b/packages/requests/src/routing/health.ts
@@ -1,69 +1,70 @@
 import type { Clock } from '@plantaindrum/common';
 import type { EjectionReason, HealthChange, UpstreamHealth } from './types.js';
 
-/** Health of one upstream in the eyes of one entry. */
+/** Health of one upstream as one entry sees it. */
 export interface Health {
   state(): UpstreamHealth;
   isSilent(): boolean;
-  /** Share of its usual traffic that it may get, 0 to 1. */
-  share(): number;
+  /** Fraction of its normal traffic that the upstream may receive, 0 to 1. */
+  trafficShare(): number;
   eject(reason: EjectionReason): HealthChange;
+  /** Sets whether the link is lost or heartbeats are missing. */
   setSilent(silent: boolean): void;
-  /** Moves on by time: ejected to returning to serving. */
+  /** Applies transitions that are due by time: from ejected to returning, then to serving. */
   advance(): HealthChange | undefined;
 }
 
-/** First pause of an ejected upstream; doubles with each ejection in a row, in milliseconds. */
-const FIRST_PAUSE_MS = 5_000;
-const LONGEST_PAUSE_MS = 60_000;
-/** Time from the first request after a pause to the full share, in milliseconds. */
-const RETURN_MS = 10_000;
-/** Share of traffic at the beginning of the return. */
-const FIRST_SHARE = 0.05;
+/** Duration of the first ejection, in milliseconds; doubles with each consecutive ejection. */
+const MIN_EJECTION_MS = 5_000;
+const MAX_EJECTION_MS = 60_000;
+/** Time in which the traffic share of a returning upstream grows to 1, in milliseconds. */
+const RAMP_UP_MS = 10_000;
+/** Traffic share at the start of that time. */
+const INITIAL_SHARE = 0.05;
 
-/** Creates the health of one upstream; it begins in full service. */
+/** Creates the health of one upstream, in the state `serving`. */
 export const createHealth = (upstream: string, clock: Clock): Health => {
   let state: UpstreamHealth = 'serving';
-  let since = clock.monotonic();
+  let changedAt = clock.monotonic();
   let ejections = 0;
   let silent = false;
 
-  const move = (to: UpstreamHealth, reason: HealthChange['reason']): HealthChange => {
+  const moveTo = (to: UpstreamHealth, reason: HealthChange['reason']): HealthChange => {
     const from = state;
     state = to;
-    since = clock.monotonic();
+    changedAt = clock.monotonic();
     return { upstream, from, to, reason };
   };
 
-  const pauseMs = () => Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS * 2 ** (ejections - 1));
+  const ejectionMs = () => Math.min(MAX_EJECTION_MS, MIN_EJECTION_MS * 2 ** (ejections - 1));
 
   const eject = (reason: EjectionReason) => {
     ejections += 1;
-    return move('ejected', reason);
+    return moveTo('ejected', reason);
   };
 
   return {
     state: () => state,
     isSilent: () => silent,
-    share: () => {
+    trafficShare: () => {
       if (state === 'serving') return 1;
       if (state === 'ejected') return 0;
-      // A full share at once would send a burst to an upstream with cold caches, which makes it
-      // slow again and has it ejected for good.
-      const progress = (clock.monotonic() - since) / RETURN_MS;
-      return Math.min(1, FIRST_SHARE + (1 - FIRST_SHARE) * progress);
+      // The full share at once would be a burst for an upstream with cold caches: it would become
+      // slow and be ejected again and again.
+      const progress = (clock.monotonic() - changedAt) / RAMP_UP_MS;
+      return Math.min(1, INITIAL_SHARE + (1 - INITIAL_SHARE) * progress);
     },
     eject,
-    setSilent: (now) => {
-      if (silent && !now && state !== 'ejected') move('returning', 'recovered');
-      silent = now;
+    setSilent: (isSilentNow) => {
+      if (silent && !isSilentNow && state !== 'ejected') moveTo('returning', 'recovered');
+      silent = isSilentNow;
     },
     advance: () => {
-      const age = clock.monotonic() - since;
-      if (state === 'ejected' && age >= pauseMs()) return move('returning', 'pause-over');
-      if (state !== 'returning' || age < RETURN_MS) return undefined;
+      const ageMs = clock.monotonic() - changedAt;
+      if (state === 'ejected' && ageMs >= ejectionMs()) return moveTo('returning', 'pause-over');
+      if (state !== 'returning' || ageMs < RAMP_UP_MS) return undefined;
       ejections = 0;
-      return move('serving', 'recovered');
+      return moveTo('serving', 'recovered');
     },
   };
 };
--- a/packages/requests/src/routing/load-view.ts
+++ b/packages/requests/src/routing/load-view.ts
@@ -1,58 +1,64 @@
 import type { Clock } from '@plantaindrum/common';
 import type { Load } from '@plantaindrum/link';
 
-/** What this entry knows of one upstream's load. */
+/** Load of one upstream as this entry knows it. */
 export interface LoadView {
-  dispatched(): void;
-  ended(): void;
-  fresh(load: Load): void;
-  lagged(report: { queued: number; running: number }): void;
+  recordDispatch(): void;
+  recordEnd(): void;
+  /** Records the load that a frame from the agent carried. */
+  recordLoad(load: Load): void;
+  /** Records the platform's report, which is older; used without a fresh load only. */
+  recordLaggedReport(report: { queued: number; running: number }): void;
+  /** Requests of this entry that have not ended. */
   outstanding(): number;
-  /** Requests that wait or run there, at least this entry's own. */
+  /** Requests that wait or run at the upstream; never less than `outstanding`. */
   pending(): number;
-  /** Requests served a second by the agent's measure; 0 when not known. */
+  /** Requests per second as measured by the agent; 0 while unknown. */
   drainPerSecond(): number;
+  /** Latest known queue length and number of running requests. */
   latest(): { queued: number; running: number };
 }
 
-/** A load that rode on a frame counts as fresh for this long, in milliseconds. */
-const FRESH_MS = 3_000;
+/** A load received on a frame is used for this long, in milliseconds. */
+const FRESH_LOAD_MS = 3_000;
 
-/** Creates the view; the agent's own figures go before the platform's lagged report. */
+/** Creates the view. The load that the agent sends takes precedence over the platform's report. */
 export const createLoadView = (clock: Clock): LoadView => {
   let outstanding = 0;
-  let sentSince = 0;
-  let heard: { load: Load; at: number } | undefined;
+  let sentSinceReceived = 0;
+  let received: { load: Load; receivedAt: number } | undefined;
   let report: { queued: number; running: number } | undefined;
 
   const freshLoad = () =>
-    heard && clock.monotonic() - heard.at <= FRESH_MS ? heard.load : undefined;
+    received && clock.monotonic() - received.receivedAt <= FRESH_LOAD_MS
+      ? received.load
+      : undefined;
 
   const latest = () => freshLoad() ?? report ?? { queued: 0, running: 0 };
 
   return {
-    dispatched: () => {
+    recordDispatch: () => {
       outstanding += 1;
-      sentSince += 1;
+      sentSinceReceived += 1;
     },
-    ended: () => {
+    recordEnd: () => {
       outstanding -= 1;
     },
-    fresh: (load) => {
-      heard = { load, at: clock.monotonic() };
-      sentSince = 0;
+    recordLoad: (load) => {
+      received = { load, receivedAt: clock.monotonic() };
+      sentSinceReceived = 0;
     },
-    lagged: (newer) => {
-      report = newer;
+    recordLaggedReport: (newReport) => {
+      report = newReport;
     },
     outstanding: () => outstanding,
     pending: () => {
       const { queued, running } = latest();
-      // What this entry sent after the figures were made is not in them yet.
-      const unseen = freshLoad() ? sentSince : 0;
-      return Math.max(outstanding, queued + running + unseen);
+      // The received load doesn't yet include what this entry sent afterwards.
+      const notYetReported = freshLoad() ? sentSinceReceived : 0;
+      return Math.max(outstanding, queued + running + notYetReported);
     },
-    drainPerSecond: () => heard?.load.drainPerSecond ?? 0,
+    drainPerSecond: () => received?.load.drainPerSecond ?? 0,
     latest,
   };
 };
--- a/packages/requests/src/routing/outliers.ts
+++ b/packages/requests/src/routing/outliers.ts
@@ -1,59 +1,68 @@
 import type { Health } from './health.js';
-import type { Pace } from './pace.js';
+import type { FirstByteLatency } from './first-byte-latency.js';
 import type { EjectionReason } from './types.js';
 
-/** What outlier detection looks at. */
-interface Observed {
-  pace: Pace;
+/** The measurements that outlier detection uses. */
+interface ObservedUpstream {
+  latency: FirstByteLatency;
   health: Health;
 }
 
-/** An upstream this many times slower than the median is ejected. */
+/** An upstream is slow above this multiple of the median latency … */
 const SLOW_FACTOR = 3;
-/** Differences below this never matter, in milliseconds. */
+/** … plus this margin, in milliseconds, so that small differences don't count. */
 const SLOW_MARGIN_MS = 100;
-/** A started request that has no first byte after this many medians counts as stuck. */
+/** A started request without a first byte is stuck after this multiple of the median … */
 const STUCK_FACTOR = 10;
-/** … and at least this long, in milliseconds. */
-const STUCK_LEAST_MS = 2_000;
-/** So many requests that failed in a row make an upstream a failing one. */
-const MOST_FAILURES = 5;
-/** At most this share of the upstreams is ejected at a time. */
-const MOST_EJECTED = 0.5;
+/** … but not before this time, in milliseconds. */
+const MIN_STUCK_MS = 2_000;
+/** An upstream is failing after this many consecutive failures. */
+const MAX_CONSECUTIVE_FAILURES = 5;
+/** Largest fraction of the upstreams that is ejected at the same time. */
+const MAX_EJECTED_SHARE = 0.5;
 
 const median = (values: readonly number[]): number | undefined =>
   [...values].sort((a, b) => a - b)[Math.floor((values.length - 1) / 2)];
 
 /**
- * One that refuses at once always has the least load and draws the most requests; neither its pace
- * nor its silence tells, so its failures are counted.
+ * Why an upstream has to be ejected, if it has to. Failures are counted because an upstream that
+ * refuses at once has the lowest load and attracts the most requests, while neither its latency nor
+ * a missing first byte shows the fault.
  */
-const reasonToEject = (pace: Pace, medianMs: number | undefined): EjectionReason | undefined => {
-  if (pace.failures() >= MOST_FAILURES) return 'failing';
+const ejectionReason = (
+  latency: FirstByteLatency,
+  medianMs: number | undefined,
+): EjectionReason | undefined => {
+  if (latency.consecutiveFailures() >= MAX_CONSECUTIVE_FAILURES) return 'failing';
   if (medianMs === undefined) return undefined;
-  if (pace.oldestWaitMs() > Math.max(STUCK_LEAST_MS, STUCK_FACTOR * medianMs)) return 'silent';
-  const smoothed = pace.smoothedMs();
-  if (smoothed === undefined) return undefined;
-  return smoothed > SLOW_FACTOR * medianMs + SLOW_MARGIN_MS ? 'slow' : undefined;
+  if (latency.oldestWaitMs() > Math.max(MIN_STUCK_MS, STUCK_FACTOR * medianMs)) return 'silent';
+  const smoothedMs = latency.smoothedMs();
+  if (smoothedMs === undefined) return undefined;
+  return smoothedMs > SLOW_FACTOR * medianMs + SLOW_MARGIN_MS ? 'slow' : undefined;
 };
 
 /**
- * The upstreams to eject, worst first. The measure is the median of the peers, so that a slow model
- * or a common overload ejects nobody; the cap keeps a wrong verdict from emptying the pool, which
- * would overload the rest and eject them in turn.
+ * Returns the upstreams to eject, worst first. Each is compared with the median of its peers, so
+ * that a slow model or an overload of all ejects none. The limit on ejections keeps wrong decisions
+ * from emptying the pool, which would overload the remaining upstreams and eject them as well.
  */
-export const ejectionsDue = <T extends Observed>(
+export const selectEjections = <T extends ObservedUpstream>(
   members: readonly T[],
 ): { member: T; reason: EjectionReason }[] => {
   const inService = members.filter(({ health }) => health.state() !== 'ejected');
-  const paces = inService.map(({ pace }) => pace.smoothedMs()).filter((ms) => ms !== undefined);
-  const medianMs = median(paces);
+  const latencies = inService
+    .map(({ latency }) => latency.smoothedMs())
+    .filter((ms) => ms !== undefined);
+  const medianMs = median(latencies);
   const ejected = members.length - inService.length;
-  const room = Math.floor(members.length * MOST_EJECTED) - ejected;
-  const due = inService.flatMap((member) => {
-    const reason = reasonToEject(member.pace, medianMs);
+  const maxMoreEjections = Math.floor(members.length * MAX_EJECTED_SHARE) - ejected;
+  const outliers = inService.flatMap((member) => {
+    const reason = ejectionReason(member.latency, medianMs);
     return reason ? [{ member, reason }] : [];
   });
-  const badness = ({ pace }: Observed) => Math.max(pace.smoothedMs() ?? 0, pace.oldestWaitMs());
-  return due.sort((a, b) => badness(b.member) - badness(a.member)).slice(0, Math.max(0, room));
+  const severityMs = ({ latency }: ObservedUpstream) =>
+    Math.max(latency.smoothedMs() ?? 0, latency.oldestWaitMs());
+  return outliers
+    .sort((a, b) => severityMs(b.member) - severityMs(a.member))
+    .slice(0, Math.max(0, maxMoreEjections));
 };
--- a/packages/requests/src/routing/router.ts
+++ b/packages/requests/src/routing/router.ts
@@ -4,9 +4,9 @@
 import { combineHashes, hashText } from './hash.js';
 import type { LoadView } from './load-view.js';
 import { createLoadView } from './load-view.js';
-import { ejectionsDue } from './outliers.js';
-import type { Pace } from './pace.js';
-import { createPace } from './pace.js';
+import { selectEjections } from './outliers.js';
+import type { FirstByteLatency } from './first-byte-latency.js';
+import { createFirstByteLatency } from './first-byte-latency.js';
 import type { Distance } from './subset.js';
 import { distanceOf, subsetOf } from './subset.js';
 import type { EntryNode, Route, RouteRequest, Router, Upstream } from './types.js';
@@ -17,47 +17,47 @@
   random: Random;
   /** This entry. */
   self: EntryNode;
-  /** Entries that keep a link to each upstream. */
+  /** Number of entries that keep a link to each upstream. */
   entriesPerUpstream?: number;
-  /** Fewest upstreams of one target that this entry keeps links to. */
-  leastUpstreams?: number;
-  /** How far above the mean load a prefix's own upstream may be; 0 turns affinity off. */
+  /** Smallest number of upstreams of one target that this entry keeps links to. */
+  minUpstreams?: number;
+  /** Largest multiple of the mean expected wait at which prefix affinity applies; 0 disables it. */
   affinityBound?: number;
 }
 
-/** All that one entry knows of one upstream. */
+/** State of one upstream at this entry. */
 interface Member {
   upstream: Upstream;
   load: LoadView;
-  pace: Pace;
+  latency: FirstByteLatency;
   health: Health;
-  /** Its agent's word; the VM list's stands in `upstream`. */
-  agentLeaves: boolean;
+  /** Whether the agent said that it is leaving; `upstream.leaving` is what the VM list says. */
+  agentLeaving: boolean;
 }
 
-/** Added to the expected wait by distance, in milliseconds. */
-const DISTANCE_MS: Record<Distance, number> = { 'data-centre': 0, region: 3, far: 100 };
-/** Assumed until any agent has measured its drain rate, in requests a second. */
-const DEFAULT_DRAIN = 10;
+/** Penalty added to the expected wait for distance, in milliseconds. */
+const DISTANCE_PENALTY_MS: Record<Distance, number> = { 'data-centre': 0, region: 3, far: 100 };
+/** Drain rate assumed until an agent has measured one, in requests per second. */
+const DEFAULT_DRAIN_PER_SECOND = 10;
 
 const isLeaving = (member: Member): boolean =>
-  member.agentLeaves || member.upstream.leaving === true;
+  member.agentLeaving || member.upstream.leaving === true;
 
 /** Creates the router of one entry. */
 export const createRouter = (options: RouterOptions): Router => {
   const { clock, random, self } = options;
-  const { entriesPerUpstream = 4, leastUpstreams = 16 } = options;
+  const { entriesPerUpstream = 4, minUpstreams = 16 } = options;
   const { affinityBound = 1.25 } = options;
   const members = new Map<string, Member>();
   let entries: readonly EntryNode[] = [];
   let subsets = new Map<string, Member[]>();
 
-  const memberOf = (upstream: Upstream): Member => ({
+  const createMember = (upstream: Upstream): Member => ({
     upstream,
     load: createLoadView(clock),
-    pace: createPace(clock),
+    latency: createFirstByteLatency(clock),
     health: createHealth(upstream.id, clock),
-    agentLeaves: false,
+    agentLeaving: false,
   });
 
   const subsetMembers = (target: string): Member[] => {
@@ -66,74 +66,88 @@
     const upstreams = [...members.values()]
       .map((member) => member.upstream)
       .filter((upstream) => upstream.target === target);
-    const subset = subsetOf(upstreams, entries, { self, entriesPerUpstream, leastUpstreams });
+    const subset = subsetOf(upstreams, entries, {
+      self,
+      entriesPerUpstream,
+      minUpstreams,
+    });
     const found = subset.map((upstream) => members.get(upstream.id)!);
     subsets.set(target, found);
     return found;
   };
 
-  const meanDrain = (among: readonly Member[]): number => {
-    const rates = among.map((member) => member.load.drainPerSecond()).filter((rate) => rate > 0);
-    if (rates.length === 0) return DEFAULT_DRAIN;
+  const meanDrainPerSecond = (candidates: readonly Member[]): number => {
+    const rates = candidates
+      .map((member) => member.load.drainPerSecond())
+      .filter((rate) => rate > 0);
+    if (rates.length === 0) return DEFAULT_DRAIN_PER_SECOND;
     return rates.reduce((sum, rate) => sum + rate, 0) / rates.length;
   };
 
-  /** Expected wait at an upstream, in milliseconds. */
-  const waitOf = (member: Member, fallbackDrain: number): number => {
-    const rate = member.load.drainPerSecond() || fallbackDrain;
+  /** Load score of an upstream: its expected wait plus the penalty for distance. */
+  const expectedWaitMs = (member: Member, fallbackPerSecond: number): number => {
+    const rate = member.load.drainPerSecond() || fallbackPerSecond;
     return (
-      (1000 * (member.load.pending() + 1)) / rate + DISTANCE_MS[distanceOf(self, member.upstream)]
+      (1000 * (member.load.pending() + 1)) / rate +
+      DISTANCE_PENALTY_MS[distanceOf(self, member.upstream)]
     );
   };
 
   const isUsable = (member: Member): boolean => {
     if (member.health.isSilent()) return false;
-    const share = member.health.share();
+    const share = member.health.trafficShare();
     return share >= 1 || (share > 0 && random() < share);
   };
 
-  const pick = (among: readonly Member[]): Member => among[Math.floor(random() * among.length)]!;
+  const pickRandom = (candidates: readonly Member[]): Member =>
+    candidates[Math.floor(random() * candidates.length)]!;
 
-  const nearestOf = (among: readonly Member[]): Member[] => {
-    const least = Math.min(
-      ...among.map((member) => DISTANCE_MS[distanceOf(self, member.upstream)]),
+  const nearestOf = (candidates: readonly Member[]): Member[] => {
+    const minPenaltyMs = Math.min(
+      ...candidates.map((member) => DISTANCE_PENALTY_MS[distanceOf(self, member.upstream)]),
+    );
+    return candidates.filter(
+      (member) => DISTANCE_PENALTY_MS[distanceOf(self, member.upstream)] === minPenaltyMs,
     );
-    return among.filter((member) => DISTANCE_MS[distanceOf(self, member.upstream)] === least);
   };
 
-  /** Two of the nearest and one of the others, so that work leaves a data centre only if it pays. */
-  const twoChoices = (among: readonly Member[]): Member => {
-    const near = nearestOf(among);
-    const others = among.filter((member) => !near.includes(member));
-    const first = pick(near);
-    const second = pick(near.length > 1 ? near.filter((member) => member !== first) : near);
-    const choices = others.length > 0 ? [first, second, pick(others)] : [first, second];
-    const drain = meanDrain(among);
+  /**
+   * Chooses the best of three random candidates: two of the nearest and one farther away. Work
+   * leaves the data centre only when the shorter wait outweighs the distance.
+   */
+  const chooseFromSamples = (candidates: readonly Member[]): Member => {
+    const near = nearestOf(candidates);
+    const others = candidates.filter((member) => !near.includes(member));
+    const first = pickRandom(near);
+    const second = pickRandom(near.length > 1 ? near.filter((member) => member !== first) : near);
+    const choices = others.length > 0 ? [first, second, pickRandom(others)] : [first, second];
+    const drain = meanDrainPerSecond(candidates);
     return choices.reduce((best, other) =>
-      waitOf(other, drain) < waitOf(best, drain) ? other : best,
+      expectedWaitMs(other, drain) < expectedWaitMs(best, drain) ? other : best,
     );
   };
 
   /**
-   * The first upstream in the prefix's rendezvous order that is not loaded above the bound. Bounded
-   * loads (Mirrokni et al., 2018): affinity may not push one upstream above the others.
+   * Chooses the first upstream in the prefix's rendezvous order whose expected wait is within the
+   * bound. Consistent hashing with bounded loads (Mirrokni et al., 2018) keeps affinity from
+   * overloading one upstream.
    */
-  const byPrefix = (prefix: string, among: readonly Member[]): Member => {
-    const near = among.filter((member) => distanceOf(self, member.upstream) !== 'far');
-    const local = near.length > 0 ? near : among;
-    const drain = meanDrain(local);
-    const waits = local.map((member) => waitOf(member, drain));
+  const chooseByPrefix = (prefix: string, candidates: readonly Member[]): Member => {
+    const near = candidates.filter((member) => distanceOf(self, member.upstream) !== 'far');
+    const local = near.length > 0 ? near : candidates;
+    const drain = meanDrainPerSecond(local);
+    const waits = local.map((member) => expectedWaitMs(member, drain));
     const mean = waits.reduce((sum, wait) => sum + wait, 0) / local.length;
     const bound = affinityBound * mean + 1000 / drain;
     const seed = hashText(prefix);
-    const within = local.filter((_, n) => waits[n]! <= bound);
+    const withinBound = local.filter((_, n) => waits[n]! <= bound);
     const score = (member: Member) => combineHashes(seed, hashText(member.upstream.id));
-    return within.reduce((best, member) => (score(member) > score(best) ? member : best));
+    return withinBound.reduce((best, member) => (score(member) > score(best) ? member : best));
   };
 
-  const lastResort = (among: readonly Member[]): Route => {
-    const heard = among.filter((member) => !member.health.isSilent());
-    const chosen = twoChoices(heard.length > 0 ? heard : among);
+  const chooseLastResort = (candidates: readonly Member[]): Route => {
+    const reachable = candidates.filter((member) => !member.health.isSilent());
+    const chosen = chooseFromSamples(reachable.length > 0 ? reachable : candidates);
     return { upstream: chosen.upstream.id, method: 'last-resort' };
   };
 
@@ -144,12 +158,12 @@
     if (candidates.length === 0) return { upstream: undefined, reason: 'all-excluded' };
     const usable = candidates.filter(isUsable);
     const [only] = usable;
-    if (!only) return lastResort(candidates);
+    if (!only) return chooseLastResort(candidates);
     if (usable.length === 1) return { upstream: only.upstream.id, method: 'only-one' };
     if (request.prefix !== undefined && affinityBound > 0) {
-      return { upstream: byPrefix(request.prefix, usable).upstream.id, method: 'prefix' };
+      return { upstream: chooseByPrefix(request.prefix, usable).upstream.id, method: 'prefix' };
     }
-    return { upstream: twoChoices(usable).upstream.id, method: 'two-choices' };
+    return { upstream: chooseFromSamples(usable).upstream.id, method: 'two-choices' };
   };
 
   return {
@@ -159,7 +173,7 @@
       upstreams.forEach((upstream) => {
         const known = members.get(upstream.id);
         if (known) known.upstream = upstream;
-        else members.set(upstream.id, memberOf(upstream));
+        else members.set(upstream.id, createMember(upstream));
       });
       subsets = new Map();
     },
@@ -171,32 +185,32 @@
     choose,
     dispatched: (upstream) => {
       const member = members.get(upstream);
-      if (!member) return createPace(clock).ticket(() => {});
-      member.load.dispatched();
-      return member.pace.ticket(() => member.load.ended());
+      if (!member) return createFirstByteLatency(clock).track(() => {});
+      member.load.recordDispatch();
+      return member.latency.track(() => member.load.recordEnd());
     },
     load: (upstream, load) => {
       const member = members.get(upstream);
       if (!member) return;
-      member.load.fresh(load);
-      member.agentLeaves = load.leaving;
+      member.load.recordLoad(load);
+      member.agentLeaving = load.leaving;
     },
-    laggedLoad: (upstream, report) => members.get(upstream)?.load.lagged(report),
+    laggedLoad: (upstream, report) => members.get(upstream)?.load.recordLaggedReport(report),
     silent: (upstream, silent) => members.get(upstream)?.health.setSilent(silent),
     leaving: (upstream) => {
       const member = members.get(upstream);
-      if (member) member.agentLeaves = true;
+      if (member) member.agentLeaving = true;
     },
     review: () => {
-      const moved = [...members.values()].map((member) => member.health.advance());
+      const advanced = [...members.values()].map((member) => member.health.advance());
       const targets = new Set([...members.values()].map((member) => member.upstream.target));
       const ejected = [...targets].flatMap((target) =>
-        ejectionsDue(subsetMembers(target)).map(({ member, reason }) => {
-          member.pace.reset();
+        selectEjections(subsetMembers(target)).map(({ member, reason }) => {
+          member.latency.reset();
           return member.health.eject(reason);
         }),
       );
-      return [...moved.filter((change) => change !== undefined), ...ejected];
+      return [...advanced.filter((change) => change !== undefined), ...ejected];
     },
     status: () =>
       [...members.values()].map((member) => ({
@@ -207,7 +221,7 @@
         leaving: isLeaving(member),
         outstanding: member.load.outstanding(),
         ...member.load.latest(),
-        firstByteMs: member.pace.smoothedMs(),
+        firstByteMs: member.latency.smoothedMs(),
       })),
   };
 };
--- a/packages/requests/src/routing/subset.ts
+++ b/packages/requests/src/routing/subset.ts
@@ -1,34 +1,38 @@
 import { combineHashes, hashText } from './hash.js';
 import type { EntryNode, Upstream } from './types.js';
 
-/** How far two nodes are from each other. */
+/** Network distance of two nodes: same data centre, same region, or neither. */
 export type Distance = 'data-centre' | 'region' | 'far';
 
-/** Settings of the subset. */
+/** Settings of `subsetOf`. */
 export interface SubsetOptions {
   self: EntryNode;
   /** Entries that keep a link to each upstream. */
   entriesPerUpstream: number;
-  /** Fewest upstreams of one target that an entry keeps links to. */
-  leastUpstreams: number;
+  /** Smallest number of upstreams of one target that an entry keeps links to. */
+  minUpstreams: number;
 }
 
-interface Place {
+/** Location of a node. */
+interface Location {
   dataCentre: string;
   region: string;
 }
 
 const DISTANCE_ORDER: Record<Distance, number> = { 'data-centre': 0, region: 1, far: 2 };
 
-/** How far `b` is from `a`. */
-export const distanceOf = (a: Place, b: Place): Distance => {
+/** Distance between two locations. */
+export const distanceOf = (a: Location, b: Location): Distance => {
   if (a.region !== b.region) return 'far';
   return a.dataCentre === b.dataCentre ? 'data-centre' : 'region';
 };
 
-/** Sorts by distance from `from`, then by rendezvous hash, so that a change moves few links. */
-const rank = <T extends Place & { id: string }>(
-  from: Place & { id: string },
+/**
+ * Sorts by distance from `from`, then by rendezvous hash, so that a change of nodes moves few
+ * links.
+ */
+const sortByPreference = <T extends Location & { id: string }>(
+  from: Location & { id: string },
   others: readonly T[],
 ): T[] => {
   const seed = hashText(from.id);
@@ -42,63 +46,72 @@
     .map(({ other }) => other);
 };
 
-/** Entries as upstreams of one place rank them against one of them. */
-interface Rivals {
-  /** Entries that are nearer than this one. */
+/** How the upstreams of one location rank the other entries relative to this one. */
+interface EntryRanking {
+  /** Number of entries that are nearer than this one. */
   nearer: number;
   /** Hashes of the entries at the same distance. */
-  level: number[];
+  equidistantHashes: number[];
 }
 
-const rivalsAt = (place: Place, self: EntryNode, others: readonly EntryNode[]): Rivals => {
-  const own = DISTANCE_ORDER[distanceOf(place, self)];
-  const distances = others.map((entry) => DISTANCE_ORDER[distanceOf(place, entry)]);
+const rankEntries = (
+  location: Location,
+  self: EntryNode,
+  others: readonly EntryNode[],
+): EntryRanking => {
+  const ownDistance = DISTANCE_ORDER[distanceOf(location, self)];
+  const distances = others.map((entry) => DISTANCE_ORDER[distanceOf(location, entry)]);
   return {
-    nearer: distances.filter((distance) => distance < own).length,
-    level: others.filter((_, at) => distances[at] === own).map((entry) => hashText(entry.id)),
+    nearer: distances.filter((distance) => distance < ownDistance).length,
+    equidistantHashes: others
+      .filter((_, at) => distances[at] === ownDistance)
+      .map((entry) => hashText(entry.id)),
   };
 };
 
 /**
- * Whether `self` is among the first `count` entries by the rank of an upstream. Counting those
- * ahead of it, by data centre, sorts nothing: with thousands of upstreams and hundreds of entries a
- * sort for each upstream held up the event loop for seconds, longer than links wait for a heartbeat.
+ * Creates a filter for upstreams that rank `self` among their first `count` entries. It counts the
+ * entries that rank higher, per location, and doesn't sort: with thousands of upstreams and
+ * hundreds of entries, a sort for each upstream blocked the event loop for seconds, longer than the
+ * heartbeat timeout of links.
  */
-const createPicks = (self: EntryNode, entries: readonly EntryNode[], count: number) => {
+const createAssignmentFilter = (self: EntryNode, entries: readonly EntryNode[], count: number) => {
   const others = entries.filter((entry) => entry.id !== self.id);
   const selfHash = hashText(self.id);
-  const byPlace = new Map<string, Rivals>();
+  const byLocation = new Map<string, EntryRanking>();
 
-  const rivalsOf = ({ region, dataCentre }: Place): Rivals => {
+  const rankingOf = ({ region, dataCentre }: Location): EntryRanking => {
     const key = JSON.stringify([region, dataCentre]);
-    const rivals = byPlace.get(key) ?? rivalsAt({ region, dataCentre }, self, others);
-    byPlace.set(key, rivals);
-    return rivals;
+    const ranking = byLocation.get(key) ?? rankEntries({ region, dataCentre }, self, others);
+    byLocation.set(key, ranking);
+    return ranking;
   };
 
   return (upstream: Upstream): boolean => {
-    const { nearer, level } = rivalsOf(upstream);
+    const { nearer, equidistantHashes } = rankingOf(upstream);
     if (nearer >= count) return false;
     const seed = hashText(upstream.id);
-    const own = combineHashes(seed, selfHash);
-    const ahead = level.filter((hash) => combineHashes(seed, hash) > own).length;
+    const ownHash = combineHashes(seed, selfHash);
+    const ahead = equidistantHashes.filter((hash) => combineHashes(seed, hash) > ownHash).length;
     return nearer + ahead < count;
   };
 };
 
 /**
- * The upstreams of one target that this entry keeps links to. Every upstream picks its entries, so
- * that each has the same number and none is left out; a choice by the entries alone leaves some
- * upstreams without any. The entry adds its nearest ones up to the least number.
+ * Returns the upstreams of one target that this entry keeps links to. Entries are assigned from the
+ * upstream's side, so that every upstream has the same number of entries; if entries chose, some
+ * upstreams would have none. The entry adds its nearest other upstreams up to `minUpstreams`.
  */
 export const subsetOf = (
   upstreams: readonly Upstream[],
   entries: readonly EntryNode[],
   options: SubsetOptions,
 ): Upstream[] => {
-  const { self, entriesPerUpstream, leastUpstreams } = options;
-  const picking = upstreams.filter(createPicks(self, entries, entriesPerUpstream));
-  const picked = new Set(picking);
-  const nearest = rank(self, upstreams).filter((upstream) => !picked.has(upstream));
-  return [...picking, ...nearest.slice(0, Math.max(0, leastUpstreams - picking.length))];
+  const { self, entriesPerUpstream, minUpstreams } = options;
+  const assigned = upstreams.filter(createAssignmentFilter(self, entries, entriesPerUpstream));
+  const assignedSet = new Set(assigned);
+  const nearest = sortByPreference(self, upstreams).filter(
+    (upstream) => !assignedSet.has(upstream),
+  );
+  return [...assigned, ...nearest.slice(0, Math.max(0, minUpstreams - assigned.length))];
 };
--- a/packages/requests/src/routing/types.ts
+++ b/packages/requests/src/routing/types.ts
@@ -1,86 +1,88 @@
 import type { Load } from '@plantaindrum/link';
 
-/** An upstream as the VM list names it. */
+/** An upstream of the VM list. */
 export interface Upstream {
   /** Name of the VM. */
   id: string;
   dataCentre: string;
   region: string;
-  /** Model or service that it serves. */
+  /** Name of the model or service that it serves. */
   target: string;
-  /** The VM list says that it leaves. */
+  /** Whether the VM list marks it as leaving. */
   leaving?: boolean;
 }
 
-/** What routing knows about one request. */
+/** The properties of a request that routing depends on. */
 export interface RouteRequest {
   target: string;
   /** Hash of the prompt's prefix (`prefixHash`); undefined for plain services. */
   prefix?: string;
-  /** Upstreams not to choose again, for example those already tried. */
+  /** Upstreams that must not be chosen, for example those already tried. */
   exclude?: ReadonlySet<string>;
 }
 
 /** Why no upstream was chosen. */
 export type NoRoute = 'no-upstream' | 'all-excluded';
 
-/** How an upstream was chosen; for counters. */
+/** How an upstream was selected; a metric label. */
 export type RouteMethod = 'prefix' | 'two-choices' | 'only-one' | 'last-resort';
 
-/** A choice of upstream. */
+/** Result of an upstream selection. */
 export type Route =
   { upstream: string; method: RouteMethod } | { upstream: undefined; reason: NoRoute };
 
-/** Why an upstream gets no requests for a while. */
+/** Why an upstream was ejected. */
 export type EjectionReason = 'slow' | 'silent' | 'failing';
 
-/** State of an upstream in the eyes of one entry. */
+/** Health state of an upstream as one entry sees it. */
 export type UpstreamHealth = 'serving' | 'ejected' | 'returning';
 
-/** One request on its way, as routing sees it. Each call counts once, in any order. */
+/** A dispatched request, as routing tracks it. Each method has an effect once, in any order. */
 export interface RouteTicket {
-  /** The agent has handed it to its upstream. */
+  /** The agent has sent it to the upstream. */
   started(): void;
-  /** First sign of the answer: its head or first token. */
+  /** The head or the first token of the answer has arrived. */
   firstByte(): void;
-  /** The upstream refused it or could not be reached. */
+  /** The upstream refused the request or could not be reached. */
   failed(): void;
-  /** It has ended, in whatever way. */
+  /** The request has ended, with any outcome. */
   ended(): void;
 }
 
-/** An entry, as the VM list names it. */
+/** An entry of the VM list. */
 export interface EntryNode {
   id: string;
   dataCentre: string;
   region: string;
 }
 
-/** Chooses an upstream for each request; one per entry. */
+/** Selects an upstream for each request; each entry has one router. */
 export interface Router {
-  /** Replaces the known upstreams, from the VM list and from links. */
+  /** Replaces the list of upstreams. */
   setUpstreams(upstreams: readonly Upstream[]): void;
-  /** Replaces the known entries; they divide the upstreams of a large site among them. */
+  /** Replaces the list of entries, which share the links to the upstreams of a large site. */
   setEntries(entries: readonly EntryNode[]): void;
   /** The upstreams of a target that this entry keeps links to. */
   subset(target: string): string[];
+  /** Selects an upstream for a request. */
   choose(request: RouteRequest): Route;
-  /** A request was sent to the upstream; the ticket reports on it. */
+  /** Records a request sent to the upstream; the caller reports its progress to the result. */
   dispatched(upstream: string): RouteTicket;
-  /** Load that rode on an agent's frame: the freshest knowledge. */
+  /** Records the load that a frame from the agent carried: the latest known. */
   load(upstream: string, load: Load): void;
-  /** Load from the platform's lagged report; used only where nothing fresher exists. */
+  /** Records the platform's report, which lags; used only without a fresh load. */
   laggedLoad(upstream: string, report: { queued: number; running: number }): void;
-  /** The link is lost or heartbeats are missing (`true`), or the link is back (`false`). */
+  /** Sets whether the link is lost or heartbeats are missing. */
   silent(upstream: string, silent: boolean): void;
-  /** Its agent takes no new work from now on; a load of a new agent instance takes that back. */
+  /** The agent accepts no new work, until a load from a new agent instance says otherwise. */
   leaving(upstream: string): void;
-  /** Ejects slow upstreams and lets ejected ones return; call it once a second or so. */
+  /** Ejects outliers and lets ejected upstreams return; to be called about once a second. */
   review(): HealthChange[];
+  /** State of every upstream. */
   status(): UpstreamStatus[];
 }
 
-/** A change of an upstream's health, for one log line and a counter. */
+/** A change of an upstream's health, for the log and metrics. */
 export interface HealthChange {
   upstream: string;
   from: UpstreamHealth;
@@ -88,7 +90,7 @@
   reason: EjectionReason | 'pause-over' | 'recovered';
 }
 
-/** One line of `status`. */
+/** State of one upstream in `status`. */
 export interface UpstreamStatus {
   id: string;
   target: string;
@@ -98,6 +100,6 @@
   outstanding: number;
   queued: number;
   running: number;
-  /** Smoothed time from start to first byte, in milliseconds; undefined before the first sample. */
+  /** Moving average of the time to first byte, in milliseconds; undefined with too few samples. */
   firstByteMs: number | undefined;
 }
--- a/packages/requests/test/agent-queue.test.ts
+++ b/packages/requests/test/agent-queue.test.ts
@@ -33,7 +33,7 @@
   return taken;
 };
 
-/** Serves items of cost 1 one after the other, `ms` each, so that the drain rate is known. */
+/** Serves items of cost 1 one by one, `ms` each, so that the drain rate is known. */
 const warmUp = async ({ clock, queue }: ReturnType<typeof queueWith>, ms: number) => {
   for (let n = 0; n < 5; n += 1) queue.offer(itemOf());
   for (let item = queue.take(); item; item = queue.take()) {
@@ -68,47 +68,47 @@
     expect(cost.short / cost.long).to.be.within(0.8, 1.25);
   });
 
-  // One organisation floods the queue. A small one's request is still admitted and comes after one
-  // round, since the wait is worked out from its own share and not from the whole queue.
+  // An organisation floods the queue. The request of a small one must still be admitted and served
+  // after one round: its expected wait depends on its own share, not on the whole queue.
   it('refuses the flooding organisation, not the others', async () => {
-    const world = queueWith();
-    await warmUp(world, 100);
-    const now = world.clock.monotonic();
+    const fixture = queueWith();
+    await warmUp(fixture, 100);
+    const now = fixture.clock.monotonic();
     const flood = Array.from({ length: 30 }, () =>
-      world.queue.offer(itemOf({ organisation: 'flood', deadline: now + 1000 })),
+      fixture.queue.offer(itemOf({ organisation: 'flood', deadline: now + 1000 })),
     );
-    const small = world.queue.offer(itemOf({ organisation: 'small', deadline: now + 1000 }));
+    const small = fixture.queue.offer(itemOf({ organisation: 'small', deadline: now + 1000 }));
     expect(flood.filter((offer) => offer.admitted)).to.have.length(10);
     expect(flood.at(-1)!.rejected[0]).to.include({
       reason: 'deadline-unreachable',
       retryAfterMs: 100,
     });
     expect(small.admitted).to.equal(true);
-    world.queue.take();
-    expect(world.queue.take()!.organisation).to.equal('small');
+    fixture.queue.take();
+    expect(fixture.queue.take()!.organisation).to.equal('small');
   });
 
-  // One organisation floods the live lane beyond what the upstream can take. Without a limit its
-  // live work would keep every other organisation's background work out for good. Once work has to
-  // be refused, the flooding organisation's work comes after that of the others.
-  it('lets a flood of live work cost its sender only', async () => {
-    const world = queueWith();
-    await warmUp(world, 100);
+  // An organisation floods the live lane beyond the upstream's capacity. Without fair shares its
+  // live work would block the background work of all others for good. Once work has to be rejected,
+  // the flooding organisation comes after the others.
+  it('lets a flood of live work delay only the organisation that sends it', async () => {
+    const fixture = queueWith();
+    await warmUp(fixture, 100);
     const served = { flood: 0, small: 0 };
     for (let second = 0; second < 20; second += 1) {
-      const now = world.clock.monotonic();
+      const now = fixture.clock.monotonic();
       const flood = { organisation: 'flood', lane: 'live' as const, deadline: now + 1_000 };
-      for (let n = 0; n < 20; n += 1) world.queue.offer(itemOf(flood));
+      for (let n = 0; n < 20; n += 1) fixture.queue.offer(itemOf(flood));
       const small = { organisation: 'small', lane: 'background' as const, deadline: now + 3_000 };
-      world.queue.offer(itemOf(small));
+      fixture.queue.offer(itemOf(small));
       for (let n = 0; n < 10; n += 1) {
-        const item = world.queue.take();
-        await world.clock.advance(100);
+        const item = fixture.queue.take();
+        await fixture.clock.advance(100);
         if (!item) continue;
         served[item.organisation as 'flood' | 'small'] += 1;
-        world.queue.finished(item.id);
+        fixture.queue.finished(item.id);
       }
-      world.queue.sweep();
+      fixture.queue.sweep();
     }
     expect(served.small).to.be.at.least(16);
     expect(served.flood + served.small).to.be.at.least(180);
@@ -132,115 +132,115 @@
     ]);
   });
 
-  // The upstream needs 300 ms from start to first byte. Work that could only start 200 ms before
-  // its target would be answered late: it is refused on arrival.
-  it('keeps back the time that the upstream itself takes to the first byte', async () => {
-    const world = queueWith();
+  // The upstream takes 300 ms to the first byte. Work that could only start 200 ms before its
+  // deadline would be answered late, so it is rejected on arrival.
+  it('reserves the time that the upstream takes to the first byte', async () => {
+    const fixture = queueWith();
     for (let n = 0; n < 5; n += 1) {
-      world.queue.offer(itemOf());
-      const item = world.queue.take()!;
-      await world.clock.advance(300);
-      world.queue.answering(item.id);
-      world.queue.finished(item.id);
+      fixture.queue.offer(itemOf());
+      const item = fixture.queue.take()!;
+      await fixture.clock.advance(300);
+      fixture.queue.answering(item.id);
+      fixture.queue.finished(item.id);
     }
-    const now = world.clock.monotonic();
-    world.queue.offer(itemOf());
-    world.queue.take();
+    const now = fixture.clock.monotonic();
+    fixture.queue.offer(itemOf());
+    fixture.queue.take();
     const offers = [450, 700].map(
-      (ms) => world.queue.offer(itemOf({ deadline: now + ms })).admitted,
+      (ms) => fixture.queue.offer(itemOf({ deadline: now + ms })).admitted,
     );
     expect(offers).to.deep.equal([false, true]);
   });
 
-  // An upstream that has become slower than the target still gets work now and then; refusing all
-  // would keep its old measure for ever.
-  it('does not lock out an upstream that was slower than the target once', async () => {
-    const world = queueWith();
-    world.queue.offer(itemOf());
-    const slow = world.queue.take()!;
-    await world.clock.advance(60_000);
-    world.queue.answering(slow.id);
-    world.queue.finished(slow.id);
-    const deadline = world.clock.monotonic() + 1_000;
-    expect(world.queue.offer(itemOf({ deadline })).admitted).to.equal(true);
+  // An upstream that was slower than the target must still get some work. If all were rejected, its
+  // measured time would never be updated.
+  it('admits work for an upstream that was slower than the target', async () => {
+    const fixture = queueWith();
+    fixture.queue.offer(itemOf());
+    const slow = fixture.queue.take()!;
+    await fixture.clock.advance(60_000);
+    fixture.queue.answering(slow.id);
+    fixture.queue.finished(slow.id);
+    const deadline = fixture.clock.monotonic() + 1_000;
+    expect(fixture.queue.offer(itemOf({ deadline })).admitted).to.equal(true);
   });
 
-  it('gives up waiting work at once when the upstream has become too slow', async () => {
-    const world = queueWith();
-    await warmUp(world, 10);
-    const deadline = world.clock.monotonic() + 500;
-    for (let n = 0; n < 40; n += 1) world.queue.offer(itemOf({ deadline }));
-    expect(world.queue.sweep()).to.have.length(0);
+  it('rejects waiting work as soon as the upstream has become too slow', async () => {
+    const fixture = queueWith();
+    await warmUp(fixture, 10);
+    const deadline = fixture.clock.monotonic() + 500;
+    for (let n = 0; n < 40; n += 1) fixture.queue.offer(itemOf({ deadline }));
+    expect(fixture.queue.sweep()).to.have.length(0);
     for (let n = 0; n < 2; n += 1) {
-      const item = world.queue.take()!;
-      await world.clock.advance(200);
-      world.queue.finished(item.id);
+      const item = fixture.queue.take()!;
+      await fixture.clock.advance(200);
+      fixture.queue.finished(item.id);
     }
-    const given = world.queue.sweep();
-    expect(new Set(given.map(({ reason }) => reason))).to.deep.equal(
+    const rejected = fixture.queue.sweep();
+    expect(new Set(rejected.map(({ reason }) => reason))).to.deep.equal(
       new Set(['deadline-unreachable']),
     );
-    expect(given.length).to.be.within(20, 38);
+    expect(rejected.length).to.be.within(20, 38);
   });
 
-  // The first refusal of a sweep begins an overload, which moves an organisation to the ranks of
-  // those over their share. A sweep that looked at it again there would refuse its work twice.
-  it('refuses each item of a sweep once, also when the sweep begins an overload', async () => {
-    const world = queueWith();
-    for (let n = 0; n < 12; n += 1) world.queue.offer(itemOf({ organisation: 'flood' }));
-    world.queue.offer(itemOf({ organisation: 'small' }));
-    for (let item = world.queue.take(); item; item = world.queue.take()) {
-      await world.clock.advance(100);
-      world.queue.finished(item.id);
+  // The first rejection of a sweep starts an overload, which moves an organisation to the ranks of
+  // those over their share. A sweep that visited it again there would reject its items twice.
+  it('rejects each item of a sweep once, even when the sweep starts an overload', async () => {
+    const fixture = queueWith();
+    for (let n = 0; n < 12; n += 1) fixture.queue.offer(itemOf({ organisation: 'flood' }));
+    fixture.queue.offer(itemOf({ organisation: 'small' }));
+    for (let item = fixture.queue.take(); item; item = fixture.queue.take()) {
+      await fixture.clock.advance(100);
+      fixture.queue.finished(item.id);
     }
-    const deadline = world.clock.monotonic() + 400;
+    const deadline = fixture.clock.monotonic() + 400;
     for (let n = 0; n < 3; n += 1) {
-      world.queue.offer(itemOf({ organisation: 'flood', lane: 'live', deadline }));
+      fixture.queue.offer(itemOf({ organisation: 'flood', lane: 'live', deadline }));
     }
-    await world.clock.advance(500);
-    expect(world.queue.sweep()).to.have.length(3);
-    expect(world.queue.load().queued).to.equal(0);
+    await fixture.clock.advance(500);
+    expect(fixture.queue.sweep()).to.have.length(3);
+    expect(fixture.queue.load().queued).to.equal(0);
   });
 
-  // The engine freezes while its agent is well. Nothing ends any more, so the last measured rate says
-  // nothing: callers must not wait for most of their target to hear that, and Retry-After
-  // stays within a bound.
-  it('refuses soon when nothing ends any more', async () => {
-    const world = queueWith();
-    await warmUp(world, 100);
-    for (let n = 0; n < 10; n += 1) world.queue.offer(itemOf());
+  // The engine freezes while its agent works. Nothing ends any more, so the last measured rate is
+  // wrong. Callers must be refused well before their deadline, with a bounded Retry-After.
+  it('refuses work early when the upstream has stopped finishing requests', async () => {
+    const fixture = queueWith();
+    await warmUp(fixture, 100);
+    for (let n = 0; n < 10; n += 1) fixture.queue.offer(itemOf());
     for (let n = 0; n < 5; n += 1) {
-      const item = world.queue.take()!;
-      await world.clock.advance(100);
-      world.queue.finished(item.id);
+      const item = fixture.queue.take()!;
+      await fixture.clock.advance(100);
+      fixture.queue.finished(item.id);
     }
-    world.queue.take();
-    const offer = () => world.queue.offer(itemOf({ deadline: world.clock.monotonic() + 1_500 }));
+    fixture.queue.take();
+    const offer = () =>
+      fixture.queue.offer(itemOf({ deadline: fixture.clock.monotonic() + 1_500 }));
     expect(offer().admitted).to.equal(true);
-    await world.clock.advance(1_000);
-    expect(world.queue.sweep()).to.have.length(1);
-    await world.clock.advance(4_000);
+    await fixture.clock.advance(1_000);
+    expect(fixture.queue.sweep()).to.have.length(1);
+    await fixture.clock.advance(4_000);
     const refused = offer();
     expect(refused.rejected[0]).to.include({ reason: 'deadline-unreachable' });
     expect(refused.rejected[0]!.retryAfterMs).to.be.at.most(60_000);
   });
 
-  it('hands every expired or leaving item back once', async () => {
+  it('rejects every expired or leaving item once', async () => {
     const { clock, queue } = queueWith();
     queue.offer(itemOf({ id: 'late', deadline: 5 }));
     queue.offer(itemOf({ id: 'waits' }));
     queue.offer(itemOf({ id: 'gone' }));
     expect(queue.cancel('gone')!.id).to.equal('gone');
     await clock.advance(10);
-    const given = [...queue.sweep(), ...queue.leave(), ...queue.leave()];
-    expect(given.map(({ item, reason }) => `${item.id} ${reason}`)).to.deep.equal([
+    const rejected = [...queue.sweep(), ...queue.leave(), ...queue.leave()];
+    expect(rejected.map(({ item, reason }) => `${item.id} ${reason}`)).to.deep.equal([
       'late deadline-passed',
       'waits leaving',
     ]);
     expect(queue.offer(itemOf()).rejected[0]!.reason).to.equal('leaving');
   });
 
-  it('loses and doubles no item over any order of calls', () => {
+  it('neither loses nor duplicates an item for any order of calls', () => {
     const call = fc.record({
       kind: fc.constantFrom('offer', 'offer', 'offer', 'take', 'cancel', 'sweep', 'advance'),
       organisation: fc.constantFrom('a', 'b', 'c'),
--- a/packages/requests/test/attempts.test.ts
+++ b/packages/requests/test/attempts.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import fc from 'fast-check';
 import type { AttemptId } from '@plantaindrum/link';
-import { createAttemptLedger } from '../src/attempts/attempt-ledger.js';
+import { createAttemptLedger } from '../src/attempts/attempt-state-registry.js';
 import { createSentAttempt } from '../src/attempts/sent-attempt.js';
 import type { AttemptEvent, SentAttempt } from '../src/attempts/types.js';
 
@@ -19,12 +19,12 @@
   openAtAgent: boolean;
 }
 
-/** One entry, one agent and an upstream; every frame is delivered only when a step says so. */
-const createWorld = () => {
+/** Simulates an entry, an agent and an upstream; frames are delivered only by explicit steps. */
+const createSimulation = () => {
   const sent = new Map<AttemptId, SentAttempt>();
   const runs = new Map<AttemptId, number>();
   const connections: Connection[] = [];
-  let ledger = createAttemptLedger();
+  let registry = createAttemptLedger();
   let queued: AttemptId[] = [];
   let running: AttemptId[] = [];
   let serial = 0;
@@ -32,32 +32,32 @@
   const connect = () => {
     connections.push({ toAgent: [], toEntry: [], openAtAgent: true });
   };
-  const newest = () => connections.at(-1)!;
-  const tellEntry = (id: AttemptId, event: AttemptEvent) => newest().toEntry.push({ id, event });
+  const latest = () => connections.at(-1)!;
+  const sendToEntry = (id: AttemptId, event: AttemptEvent) => latest().toEntry.push({ id, event });
   const step = (id: AttemptId, event: AttemptEvent) => {
-    if (sent.get(id)!.apply(event).step === 'query') newest().toAgent.push({ kind: 'query', id });
+    if (sent.get(id)!.apply(event).step === 'query') latest().toAgent.push({ kind: 'query', id });
   };
 
-  const atAgent = (frame: ToAgent) => {
+  const handleAtAgent = (frame: ToAgent) => {
     const { id } = frame;
     if (frame.kind === 'dispatch') {
-      const decision = ledger.dispatch(id);
+      const decision = registry.dispatch(id);
       if (decision === 'accept') queued.push(id);
-      if (decision === 'refuse-tombstone') tellEntry(id, { kind: 'not-run' });
+      if (decision === 'refuse-tombstone') sendToEntry(id, { kind: 'not-run' });
       return;
     }
     if (frame.kind === 'cancel') {
-      const decision = ledger.cancel(id);
-      if (decision === 'not-run') tellEntry(id, { kind: 'not-run' });
+      const decision = registry.cancel(id);
+      if (decision === 'not-run') sendToEntry(id, { kind: 'not-run' });
       if (decision !== 'stop-upstream') return;
-      ledger.end(id, 'unknown');
-      tellEntry(id, { kind: 'unknown' });
+      registry.end(id, 'unknown');
+      sendToEntry(id, { kind: 'unknown' });
       return;
     }
     const answers = { queued: 'sent', answered: 'end' } as const;
-    const found = ledger.query(id);
+    const found = registry.query(id);
     const kind = found === 'queued' || found === 'answered' ? answers[found] : found;
-    if (kind !== 'sent') tellEntry(id, { kind });
+    if (kind !== 'sent') sendToEntry(id, { kind });
   };
 
   connect();
@@ -67,11 +67,11 @@
       serial += 1;
       sent.set(id, createSentAttempt(id));
       sent.get(id)!.apply({ kind: 'sent' });
-      newest().toAgent.push({ kind: 'dispatch', id });
+      latest().toAgent.push({ kind: 'dispatch', id });
     },
     cancel: (n: number) => {
       const id = [...sent.keys()][n % sent.size];
-      if (id) newest().toAgent.push({ kind: 'cancel', id });
+      if (id) latest().toAgent.push({ kind: 'cancel', id });
     },
     giveUp: (n: number) => {
       const id = [...sent.keys()][n % sent.size];
@@ -80,7 +80,7 @@
     deliverToAgent: (n: number) => {
       const open = connections.filter((c) => c.openAtAgent && c.toAgent.length > 0);
       const frame = open[n % open.length]?.toAgent.shift();
-      if (frame) atAgent(frame);
+      if (frame) handleAtAgent(frame);
     },
     deliverToEntry: (n: number) => {
       const busy = connections.filter((c) => c.toEntry.length > 0);
@@ -89,29 +89,29 @@
     },
     start: () => {
       const id = queued.shift();
-      if (!id || !ledger.start(id)) return;
+      if (!id || !registry.start(id)) return;
       runs.set(id, (runs.get(id) ?? 0) + 1);
       running.push(id);
-      tellEntry(id, { kind: 'started' });
+      sendToEntry(id, { kind: 'started' });
     },
     end: () => {
       const id = running.shift();
-      if (id && ledger.end(id, 'answered')) tellEntry(id, { kind: 'end' });
+      if (id && registry.end(id, 'answered')) sendToEntry(id, { kind: 'end' });
     },
     refuse: () => {
       const id = queued.pop();
-      if (id && ledger.refuse(id)) tellEntry(id, { kind: 'not-run' });
+      if (id && registry.refuse(id)) sendToEntry(id, { kind: 'not-run' });
     },
-    // The entry's end is closed at once, the agent may still read what was in flight.
+    // The entry's end closes at once, but the agent may still read frames in flight.
     cut: (n: number) => {
-      if (n % 2 === 0) newest().openAtAgent = false;
-      newest().toEntry = n % 3 === 0 ? newest().toEntry : [];
+      if (n % 2 === 0) latest().openAtAgent = false;
+      latest().toEntry = n % 3 === 0 ? latest().toEntry : [];
       connect();
       sent.forEach((_, id) => step(id, { kind: 'link-lost' }));
     },
     restart: () => {
       connections.forEach((c) => Object.assign(c, { openAtAgent: false, toEntry: [] }));
-      ledger = createAttemptLedger();
+      registry = createAttemptLedger();
       queued = [];
       running = [];
       connect();
@@ -129,35 +129,35 @@
 };
 
 describe('attempts', () => {
-  // The caller sees "not run" although its request runs: the link is cut with the dispatch in
-  // flight, the entry asks over a new link, the agent says "not run" and only then reads the old
-  // link. The tombstone must keep the late dispatch from starting.
-  it('never runs an attempt after a query has called it not run', () => {
-    const ledger = createAttemptLedger();
-    expect(ledger.query('e1:7')).to.equal('not-run');
-    expect(ledger.dispatch('e1:7')).to.equal('refuse-tombstone');
-    expect(ledger.start('e1:7')).to.equal(false);
+  // The caller gets `not-run` although its request runs: the link is cut with the dispatch in
+  // flight, the entry queries over a new link, and the agent answers `not-run` before it reads the
+  // dispatch from the old link. The tombstone must keep that dispatch from starting.
+  it('never starts an attempt that a query has reported as not run', () => {
+    const registry = createAttemptLedger();
+    expect(registry.query('e1:7')).to.equal('not-run');
+    expect(registry.dispatch('e1:7')).to.equal('refuse-tombstone');
+    expect(registry.start('e1:7')).to.equal(false);
   });
 
-  it('starts nothing whose cancel came first', () => {
-    const ledger = createAttemptLedger();
-    expect(ledger.cancel('e1:1')).to.equal('not-run');
-    expect(ledger.dispatch('e1:1')).to.equal('refuse-tombstone');
+  it('does not start an attempt whose cancel arrived first', () => {
+    const registry = createAttemptLedger();
+    expect(registry.cancel('e1:1')).to.equal('not-run');
+    expect(registry.dispatch('e1:1')).to.equal('refuse-tombstone');
   });
 
-  it('calls nothing "not run" that it has forgotten', () => {
-    const ledger = createAttemptLedger({ closedPerInstance: 1 });
+  it('does not report a forgotten attempt as not run', () => {
+    const registry = createAttemptLedger({ closedPerInstance: 1 });
     for (const id of ['e1:1', 'e1:2'] as const) {
-      ledger.dispatch(id);
-      ledger.start(id);
-      ledger.end(id, 'answered');
+      registry.dispatch(id);
+      registry.start(id);
+      registry.end(id, 'answered');
     }
-    expect(ledger.query('e1:1')).to.equal('unknown');
-    expect(ledger.dispatch('e1:1')).to.equal('refuse-forgotten');
-    expect(ledger.query('e1:2')).to.equal('answered');
+    expect(registry.query('e1:1')).to.equal('unknown');
+    expect(registry.dispatch('e1:1')).to.equal('refuse-forgotten');
+    expect(registry.query('e1:2')).to.equal('answered');
   });
 
-  it('takes back no answer that has begun', () => {
+  it('closes an attempt as unknown when not-run follows part of the answer', () => {
     const attempt = createSentAttempt('e1:1');
     attempt.apply({ kind: 'sent' });
     attempt.apply({ kind: 'progress' });
@@ -168,15 +168,15 @@
     expect(attempt.apply({ kind: 'end' })).to.deep.equal({ step: 'late' });
   });
 
-  // Any interleaving of dispatch, accept, cancel, cut, late frame and restart: what the caller was
-  // told stays true. "Not run" never ran and never will, "answered" ran, and nothing runs twice.
-  it('tells the truth over all interleavings', () => {
-    const names = Object.keys(createWorld().steps) as (keyof ReturnType<
-      typeof createWorld
+  // For any order of dispatches, cancels, cut links, late frames and restarts, the outcome that the
+  // caller got stays true: `not-run` never runs, `answered` has run, and nothing runs twice.
+  it('reports true outcomes for any order of events', () => {
+    const names = Object.keys(createSimulation().steps) as (keyof ReturnType<
+      typeof createSimulation
     >['steps'])[];
     const stepArbitrary = fc.tuple(fc.constantFrom(...names), fc.nat(11));
     const property = fc.property(fc.array(stepArbitrary, { maxLength: 60 }), (script) => {
-      const { steps, drain, sent, runs } = createWorld();
+      const { steps, drain, sent, runs } = createSimulation();
       script.forEach(([name, n]) => steps[name](n));
       drain();
       sent.forEach((attempt, id) => {
--- a/packages/requests/test/claims.test.ts
+++ b/packages/requests/test/claims.test.ts
@@ -19,13 +19,13 @@
   ...change,
 });
 
-/** A UUIDv7 made at `ms`. */
+/** A UUIDv7 created at `ms`. */
 const datedKey = (ms: number): string => {
   const hex = ms.toString(16).padStart(12, '0');
   return `${hex.slice(0, 8)}-${hex.slice(8)}-7000-8000-000000000001`;
 };
 
-const worldWith = (step?: (label: string) => Promise<void>) => {
+const createFixture = (step?: (label: string) => Promise<void>) => {
   const clock = createManualClock(1_800_000_000_000);
   const fake = createMemoryLog({ ...(step && { step }), pageSize: 3 });
   const agent = (instance: string): Claims =>
@@ -41,7 +41,7 @@
   return { clock, fake, agent };
 };
 
-/** Moves time on until the promise has settled. */
+/** Advances the clock until the promise has settled. */
 const settled = async <T>(clock: ManualClock, promise: Promise<T>): Promise<T> => {
   let value: { it: T } | undefined;
   void promise.then((it) => {
@@ -64,7 +64,7 @@
 
 describe('claims', () => {
   it('lets the first run, refuses the others, and knows the outcome afterwards', async () => {
-    const { clock, agent } = worldWith();
+    const { clock, agent } = createFixture();
     const [kent, lynnwood] = [agent('kent'), agent('lynnwood')];
     const first = await settled(clock, kent.claim(request()));
     const steps: [string, ClaimVerdict][] = [
@@ -80,17 +80,17 @@
     expect(Object.fromEntries(steps)).toMatchSnapshot();
   });
 
-  // The caller comes again after its agent was killed in mid call. Nobody can tell whether the
-  // call ran, so the key answers "held" (outcome unknown) and nothing runs, also on the same VM.
-  it('answers unknown for a key whose agent was killed', async () => {
-    const { clock, agent } = worldWith();
+  // An agent is killed during a call, and the caller retries. Whether the call ran is unknown, so
+  // the verdict is `held` and nothing runs, on the same VM too.
+  it('keeps a key held after its agent was killed', async () => {
+    const { clock, agent } = createFixture();
     await settled(clock, agent('kent-before').claim(request()));
     const again = await settled(clock, agent('kent-after').claim(request()));
     expect(again).to.deep.equal({ verdict: 'held', runningHere: false });
   });
 
   it('frees the key of a call that provably never ran', async () => {
-    const { clock, agent } = worldWith();
+    const { clock, agent } = createFixture();
     const [kent, lynnwood] = [agent('kent'), agent('lynnwood')];
     const first = claimIdOf(await settled(clock, kent.claim(request())));
     await settled(clock, kent.release(first));
@@ -99,11 +99,11 @@
     expect((await settled(clock, kent.claim(request()))).verdict).to.equal('held');
   });
 
-  // A caller has its answer and comes again at once, at another agent. The record of the outcome was lost on its way
-  // to the log and waits to be appended again, so the repeat finds the key held by a call of which nothing is known.
-  // Whoever waits for the end of a call is told of it only when every later claim finds its outcome.
-  it('has ended a call when every later claim finds its outcome', async () => {
-    const { clock, fake, agent } = worldWith();
+  // A caller repeats an answered call at once through another agent, while the outcome's append was
+  // lost and waits to be retried. The repeat would find the key held with an unknown outcome, so
+  // `finish` must not resolve before the log holds the outcome.
+  it('resolves finish only when later claims find the outcome', async () => {
+    const { clock, fake, agent } = createFixture();
     const [kent, lynnwood] = [agent('kent'), agent('lynnwood')];
     const first = claimIdOf(await settled(clock, kent.claim(request())));
     fake.faults.appends.push('lost-request');
@@ -112,8 +112,8 @@
     expect(repeat).to.deep.equal({ verdict: 'known', outcome: { status: 200 } });
   });
 
-  it('waits no longer than it is told for the record of an end', async () => {
-    const { clock, fake, agent } = worldWith();
+  it('waits at most waitMs for the record of a finished call', async () => {
+    const { clock, fake, agent } = createFixture();
     const kent = agent('kent');
     const first = claimIdOf(await settled(clock, kent.claim(request())));
     Object.assign(fake.faults, { down: true });
@@ -126,7 +126,7 @@
   });
 
   it('refuses at once while the log is down, and runs nothing', async () => {
-    const { clock, fake, agent } = worldWith();
+    const { clock, fake, agent } = createFixture();
     Object.assign(fake.faults, { down: true });
     const before = clock.monotonic();
     const verdict = await settled(clock, agent('kent').claim(request()));
@@ -134,22 +134,22 @@
     expect(clock.monotonic() - before).to.be.at.most(50);
   });
 
-  // The append takes effect and its answer is lost. Reading finds the claim by its id; with no
-  // effect, it is appended again. Either way the caller sees one run.
-  it('looks up an append whose answer was lost', async () => {
+  // The answer to an append is lost. If the append had an effect, replay finds the claim by its id;
+  // otherwise it is appended again. Either way the call runs once.
+  it('confirms a claim whose append lost its answer', async () => {
     for (const fault of ['lost-answer', 'lost-request', 'late-effect'] as const) {
-      const { clock, fake, agent } = worldWith();
+      const { clock, fake, agent } = createFixture();
       fake.faults.appends.push(fault);
       expect((await settled(clock, agent('kent').claim(request()))).verdict).to.equal('first');
       expect((await settled(clock, agent('csepel').claim(request()))).verdict).to.equal('held');
     }
   });
 
-  // The log takes a claim and then can't be read. The call doesn't run, and once the log is back
-  // the claim is given back, so that the caller's next try isn't told "held" by a ghost.
-  it('gives back a claim that it could not confirm', async () => {
+  // The log accepts a claim and then can't be read, so the call doesn't run. Once the log is back,
+  // the claim must be released, or the caller's retry would find the key held.
+  it('releases a claim that it could not confirm', async () => {
     let isFirst = true;
-    const { clock, fake, agent } = worldWith(async (label) => {
+    const { clock, fake, agent } = createFixture(async (label) => {
       if (label === 'append answer' && isFirst) Object.assign(fake.faults, { down: true });
     });
     const kent = agent('kent');
@@ -162,16 +162,17 @@
     expect((await settled(clock, agent('csepel').claim(request()))).verdict).to.equal('first');
   });
 
-  // An agent checks a key's age, sleeps past the log's retention, wakes and claims. The first
-  // claim is gone from the log, so its own looks first. The age is checked again after the replay.
-  it('does not run an old key after a sleep past the retention', async () => {
-    const { clock, fake, agent } = worldWith();
+  // An agent checks a key's age, is suspended past the log's retention and then claims. The log has
+  // dropped the first claim, so its own looks like the first. The age is checked again after
+  // replay.
+  it('does not run an expired key after a suspension longer than the retention', async () => {
+    const { clock, fake, agent } = createFixture();
     const key = datedKey(clock.now());
     await settled(clock, agent('kent').claim(request({ key })));
-    const sleeper = agent('lynnwood').claim(request({ key, budgetMs: 10 * WINDOW_MS }));
+    const suspended = agent('lynnwood').claim(request({ key, budgetMs: 10 * WINDOW_MS }));
     fake.forgetAll();
     await clock.advance(2 * WINDOW_MS);
-    expect(await settled(clock, sleeper)).to.deep.equal({ verdict: 'key-expired' });
+    expect(await settled(clock, suspended)).to.deep.equal({ verdict: 'key-expired' });
     const late = await settled(clock, agent('kent').claim(request({ key })));
     const early = await settled(
       clock,
@@ -180,8 +181,8 @@
     expect([late, early]).to.deep.equal([{ verdict: 'key-expired' }, { verdict: 'key-expired' }]);
   });
 
-  it('begins again from what the log still holds, after a sleep past the retention', async () => {
-    const { clock, fake, agent } = worldWith();
+  it('restarts the replay from the beginning of the log when its position has expired', async () => {
+    const { clock, fake, agent } = createFixture();
     const kent = agent('kent');
     await settled(clock, kent.claim(request()));
     await settled(clock, agent('csepel').claim(request({ key: 'export-2' })));
@@ -190,9 +191,10 @@
     expect(verdict.verdict).to.equal('first');
   });
 
-  // A claim's append is delayed in the log, so that its release is replayed first; or a claim that
-  // lost is appended again after the winner gave the key up. It must not hold the key for nobody.
-  it('lets no dead claim win later', () => {
+  // The append of a claim is delayed, so that its release is replayed first; or a claim that lost
+  // is appended again after the winner released the key. Neither may hold the key, as its call
+  // never runs.
+  it('never lets a released or lost claim hold the key', () => {
     const table = createKeyTable();
     const claim = (id: string) => table.apply({ kind: 'claim', id, key: 'k', body: 'b' }, 0);
     const release = (id: string) => table.apply({ kind: 'release', id, key: 'k' }, 0);
@@ -209,7 +211,7 @@
   });
 
   it('reads a partition only when asked, and answers a known key without an append', async () => {
-    const { clock, fake, agent } = worldWith();
+    const { clock, fake, agent } = createFixture();
     const kent = agent('kent');
     await settled(clock, kent.claim(request()));
     const { appends, reads } = fake.counts();
@@ -219,8 +221,8 @@
     expect(fake.counts().appends).to.equal(appends);
   });
 
-  it('decides alike after a partition was dropped from memory', async () => {
-    const { clock, fake } = worldWith();
+  it('gives the same verdicts after a partition was evicted', async () => {
+    const { clock, fake } = createFixture();
     const options = {
       clock,
       log: fake.client(),
@@ -239,8 +241,8 @@
     expect(new Set(verdicts.slice(20))).to.deep.equal(new Set(['held']));
   });
 
-  it('sends the claims of one moment in one append', async () => {
-    const { clock, fake } = worldWith();
+  it('batches concurrent claims into one append', async () => {
+    const { clock, fake } = createFixture();
     const options = {
       clock,
       log: fake.client(),
@@ -255,9 +257,9 @@
     expect(fake.counts().appends).to.equal(1);
   });
 
-  // Any order of appends, reads, lost answers, late effects, outages, deadlines and restarts, with
-  // agents that stop anywhere: no key runs twice.
-  it('runs no key twice over all interleavings', async () => {
+  // For any order of appends, reads, lost answers, late effects, outages, deadlines and restarts,
+  // no key runs twice.
+  it('runs no key twice for any order of events', async () => {
     const faults = fc.array(
       fc.constantFrom<AppendFault>(
         'none',
@@ -277,7 +279,7 @@
     });
     const moves = fc.array(move, { minLength: 2, maxLength: 7 });
     const property = fc.asyncProperty(fc.scheduler(), faults, moves, async (s, injected, list) => {
-      const { clock, fake, agent } = worldWith((label) => s.schedule(Promise.resolve(), label));
+      const { clock, fake, agent } = createFixture((label) => s.schedule(Promise.resolve(), label));
       fake.faults.appends.push(...injected);
       const agents = new Map(['a1', 'a2', 'b1'].map((name) => [name, agent(name)]));
       const runs = new Map<string, number>();
--- a/packages/requests/test/drain-meter.test.ts
+++ b/packages/requests/test/drain-meter.test.ts
@@ -6,18 +6,18 @@
 const SLOTS = 8;
 
 describe('drain meter', () => {
-  // A lock-step engine ends its requests in bursts. A rate that swings with them lets work in during
-  // a burst that the next sweep gives up: its caller is refused late instead of at once.
-  it('stays level while requests end in bursts', async () => {
+  // A lock-step engine ends its requests in bursts. A rate that follows the bursts admits work that
+  // the next sweep rejects, so that its caller is refused late instead of at once.
+  it('keeps a stable rate while requests end in bursts', async () => {
     const clock = createManualClock();
     const meter = createDrainMeter(clock, SLOTS);
     const rates: number[] = [];
     for (let burst = 0; burst < 40; burst += 1) {
       const ids = Array.from({ length: SLOTS }, (_, n) => `${burst}-${n}`);
-      ids.forEach((id) => meter.started(id, 10));
+      ids.forEach((id) => meter.recordStart(id, 10));
       await clock.advance(100);
       ids.forEach((id) => {
-        meter.finished(id, true);
+        meter.recordEnd(id, true);
         if (burst > 20) rates.push(meter.rate().cost);
       });
     }
@@ -25,19 +25,19 @@
     expect(Math.max(...rates)).to.be.below(800 * 1.1);
   });
 
-  it('counts slots over service time while nothing waits', async () => {
+  it('uses slots divided by service time while nothing waits', async () => {
     const clock = createManualClock();
     const meter = createDrainMeter(clock, SLOTS);
     for (let n = 0; n < 20; n += 1) {
-      meter.started(`${n}`, 1);
+      meter.recordStart(`${n}`, 1);
       await clock.advance(50);
-      meter.finished(`${n}`, false);
+      meter.recordEnd(`${n}`, false);
       await clock.advance(1_000);
     }
     expect(meter.rate().requests).to.be.closeTo((SLOTS * 1000) / 50, 1);
   });
 
-  it('takes the rate of young sums over the time that they cover', async () => {
+  it('divides new sums by the time that they cover', async () => {
     const clock = createManualClock();
     const sums = createDecayedSums(clock, 3_000);
     for (let n = 0; n < 100; n += 1) {
--- a/packages/requests/test/retry-policy.test.ts
+++ b/packages/requests/test/retry-policy.test.ts
@@ -35,8 +35,8 @@
     expect(Object.fromEntries(decisions)).toMatchSnapshot();
   });
 
-  // Every upstream refuses: without a budget each caller's request becomes three, and the overload
-  // feeds itself. With it, the retries stay a tenth of the requests.
+  // Every upstream refuses. Without a budget, each request becomes three, and the retries keep the
+  // overload going. With the budget, retries stay at a tenth of the requests.
   it('keeps retries to a share of the requests', () => {
     const policy = policyWith();
     let retries = 0;
--- a/packages/requests/test/router.test.ts
+++ b/packages/requests/test/router.test.ts
@@ -37,7 +37,7 @@
     }
     return chosen;
   };
-  /** Runs one request at each upstream, whose first byte takes as long as `msOf` says. */
+  /** Runs one request at each upstream per round; `msOf` gives its time to first byte. */
   const serve = async (rounds: number, msOf: (id: string) => number) => {
     for (let n = 0; n < rounds; n += 1) {
       const tickets = upstreams.map(({ id }) => ({ ms: msOf(id), ticket: router.dispatched(id) }));
@@ -55,10 +55,10 @@
 };
 
 describe('router', () => {
-  it('leaves no upstream of a large site without its number of entries', () => {
+  it('assigns the same number of entries to every upstream of a large site', () => {
     const entries = Array.from({ length: 17 }, (_, n) => ({ ...kent, id: `kent-e${n}` }));
     const upstreams = upstreamsIn('kent', 480);
-    const options = { entriesPerUpstream: 4, leastUpstreams: 16 };
+    const options = { entriesPerUpstream: 4, minUpstreams: 16 };
     const subsets = entries.map((self) => subsetOf(upstreams, entries, { ...options, self }));
     const links = new Map(upstreams.map(({ id }) => [id, 0]));
     subsets.flat().forEach(({ id }) => links.set(id, links.get(id)! + 1));
@@ -67,7 +67,7 @@
     expect(Math.max(...sizes) / Math.min(...sizes)).to.be.below(1.6);
   });
 
-  it('keeps to its own data centre while that can serve', () => {
+  it('stays in its own data centre while that has capacity', () => {
     const far = upstreamsIn('reno', 4, 'southwest');
     const { router, shares } = routerWith([...upstreamsIn('kent', 2), ...far]);
     expect(Object.keys(shares(200))).to.have.members(['kent-0', 'kent-1']);
@@ -91,7 +91,7 @@
     expect(shares(50)).to.deep.equal({ 'kent-1': 50 });
   });
 
-  it('believes fresh load before the lagged report, and falls back to the report', async () => {
+  it('prefers a fresh load to the lagged report, and falls back to the report', async () => {
     const { clock, router, shares } = routerWith(upstreamsIn('kent', 2));
     router.laggedLoad('kent-0', { queued: 0, running: 0 });
     router.laggedLoad('kent-1', { queued: 9, running: 9 });
@@ -103,9 +103,8 @@
     expect(shares(50)).to.deep.equal({ 'kent-0': 50 });
   });
 
-  // Callers wait: an engine has become ten times slower, while its agent still answers heartbeats
-  // at once. Only the time from start to first byte shows it. It gets nothing for the pause, then
-  // a trickle, and its full share once it is well.
+  // An engine has become ten times slower while its agent answers heartbeats at once. Only the time
+  // to first byte shows it. It gets no requests while ejected, then a growing share of them.
   it('ejects a slow upstream that still answers heartbeats, and lets it back gradually', async () => {
     const { clock, router, shares, serve } = routerWith(upstreamsIn('kent', 4));
     await serve(6, (id) => (id === 'kent-3' ? 2000 : 200));
@@ -138,8 +137,8 @@
     ]);
   });
 
-  // An engine refuses all that it gets, at once: its load is always the least, so it draws the most
-  // requests, and each costs its caller an attempt. It is left out until its pause is over.
+  // An engine refuses every request at once. Its load is always the lowest, so it attracts the most
+  // requests, each of which costs an attempt. It must be ejected.
   it('ejects an upstream that refuses one request after the other', async () => {
     const { router, shares } = routerWith(upstreamsIn('kent', 4));
     const fail = () => {
@@ -157,7 +156,7 @@
     expect(shares(400)).not.to.have.property('kent-1');
   });
 
-  it('never ejects all, and nobody for a slowness that all share', async () => {
+  it('ejects at most half of the upstreams, and none when all are slow', async () => {
     const { router, serve } = routerWith(upstreamsIn('kent', 6));
     await serve(6, (id) => (Number(id.slice(-1)) < 3 ? 100 : 5_000));
     expect(router.review()).to.have.length(3);
@@ -171,7 +170,7 @@
     expect(silent.router.choose({ target: 'm' })).to.include({ method: 'last-resort' });
   });
 
-  it('keeps a prefix at its upstream until that is loaded above the bound', () => {
+  it('keeps a prefix at its upstream until the load exceeds the bound', () => {
     const { router, shares } = routerWith(upstreamsIn('kent', 4));
     const [home] = Object.keys(shares(50, 'p1'));
     expect(shares(50, 'p1')).to.deep.equal({ [home!]: 50 });
