--- a/packages/experts/src/coordinator/change.ts
+++ b/packages/experts/src/coordinator/change.ts
@@ -6,57 +6,59 @@
 import type { GroupCalls } from './group-calls.js';
 import { isOvertaken, isRefused } from './group-calls.js';
 
-/** How a change ended, as far as its coordinator knows; `unsettled` is left to the agents. */
+/**
+ * Outcome of a change as its coordinator knows it; an `unsettled` one is resolved by the agents.
+ */
 export type ChangeOutcome =
   'switched' | 'aborted' | 'not-prepared' | 'yielded' | 'overtaken' | 'unsettled';
 
-/** Round trips between the call for the armed step and its coming. */
-const MARGIN_ROUNDS = 4;
-/** Steps between them at least. */
+/** Margin between the choice of the armed step and the step itself, in round trips. */
+const MARGIN_ROUND_TRIPS = 4;
+/** Additional margin, in steps. */
 const MARGIN_STEPS = 4;
-/** Rounds of asking for votes before a change is left to the agents. */
+/** Rounds of queries for votes before a change is left to the agents. */
 const VOTE_ROUNDS = 5;
 
-/** One change of a group's map. */
+/** A change of a group's map. */
 export interface Change {
   fence: number;
   map: ExpertMapDocument;
   nodes: readonly string[];
 }
 
-type Prepared = 'prepared' | 'not-prepared' | 'yielded' | 'overtaken';
+type PrepareOutcome = 'prepared' | 'not-prepared' | 'yielded' | 'overtaken';
 
-/** Runs jobs over nodes, so many at a time; stops handing out nodes after a bad result. */
-const inTurns = async (
+/** Runs a job for each node with limited concurrency; starts no more after one has failed. */
+const runConcurrently = async (
   nodes: readonly string[],
-  width: number,
-  job: (node: string) => Promise<Prepared>,
-): Promise<Prepared> => {
+  concurrency: number,
+  job: (node: string) => Promise<PrepareOutcome>,
+): Promise<PrepareOutcome> => {
   const queue = [...nodes];
-  let result: Prepared = 'prepared';
-  const work = async (): Promise<void> => {
+  let result: PrepareOutcome = 'prepared';
+  const runNext = async (): Promise<void> => {
     for (let node = queue.shift(); node !== undefined; node = queue.shift()) {
-      const one = await job(node);
-      if (one !== 'prepared') result = one;
+      const outcome = await job(node);
+      if (outcome !== 'prepared') result = outcome;
       if (result !== 'prepared') return;
     }
   };
-  await Promise.all(Array.from({ length: width }, work));
+  await Promise.all(Array.from({ length: concurrency }, runNext));
   return result;
 };
 
-/** Has all engines load the weights; few at a time, so that groups share the store evenly. */
+/** Makes all engines load the weights, few at a time, so that groups share the store evenly. */
 const prepareAll = (
   options: CoordinatorOptions,
   calls: GroupCalls,
   timings: GroupTimings,
   { fence, map, nodes }: Change,
-): Promise<Prepared> => {
+): Promise<PrepareOutcome> => {
   const { clock, metrics } = options;
   const deadline = clock.monotonic() + timings.prepareMs;
   const args = { fence, version: map.version, map };
 
-  const prepareOne = async (node: string): Promise<Prepared> => {
+  const prepareOne = async (node: string): Promise<PrepareOutcome> => {
     while (clock.monotonic() < deadline) {
       if (!options.mayMove()) {
         metrics.count('expert_moves_deferred', { reason: 'live-traffic' });
@@ -72,24 +74,26 @@
     }
     return options.mayMove() ? 'not-prepared' : 'yielded';
   };
-  return inTurns(nodes, timings.loaders, prepareOne);
+  return runConcurrently(nodes, timings.loaders, prepareOne);
 };
 
-/** A step that lies far enough ahead for two rounds of messages. */
-const chooseStep = async (
+/** Chooses a step far enough ahead for two rounds of messages. */
+const chooseArmedStep = async (
   options: CoordinatorOptions,
   calls: GroupCalls,
   { fence, nodes }: Change,
 ): Promise<number | undefined> => {
   const { clock } = options;
   const start = clock.monotonic();
-  const beats = await calls.askAll<HeartbeatAnswer>(nodes, 'experts.heartbeat', { fence });
-  const roundMs = clock.monotonic() - start;
-  const ranks = [...beats.values()].flatMap((beat) => (beat && !isRefused(beat) ? beat.ranks : []));
+  const replies = await calls.askAll<HeartbeatAnswer>(nodes, 'experts.heartbeat', { fence });
+  const roundTripMs = clock.monotonic() - start;
+  const ranks = [...replies.values()].flatMap((reply) =>
+    reply && !isRefused(reply) ? reply.ranks : [],
+  );
   if (ranks.length < options.layout.rankCount) return undefined;
   const step = Math.max(...ranks.map((rank) => rank.step));
   const stepMs = Math.max(1, ...ranks.map((rank) => rank.stepTimeUs / 1000));
-  return step + MARGIN_STEPS + Math.ceil((MARGIN_ROUNDS * roundMs) / stepMs);
+  return step + MARGIN_STEPS + Math.ceil((MARGIN_ROUND_TRIPS * roundTripMs) / stepMs);
 };
 
 const asVote = (answer: unknown): Vote =>
@@ -103,23 +107,23 @@
   args: ArmArgs,
 ): Promise<Decision | undefined> => {
   const { rankCount } = options.layout;
-  const arms = await calls.askAll<Vote>(nodes, 'experts.arm', args);
-  let votes = [...arms.values()].map(asVote);
+  const armed = await calls.askAll<Vote>(nodes, 'experts.arm', args);
+  let votes = [...armed.values()].map(asVote);
   for (let round = 0; round < VOTE_ROUNDS; round += 1) {
     const decision = decisionOf(votes, rankCount);
     if (decision) return decision;
     await sleep(options.clock, timings.askAfterMs);
     const { version } = args;
-    const asked = await calls.askAll<Vote>(nodes, 'experts.outcome', { version });
-    votes = [...asked.values()].map(asVote);
+    const queried = await calls.askAll<Vote>(nodes, 'experts.outcome', { version });
+    votes = [...queried.values()].map(asVote);
   }
   return decisionOf(votes, rankCount);
 };
 
 /**
- * Changes a group's map: prepare everywhere, arm everywhere at one step, and hand on what the
- * votes decide. Nothing here is needed for the group to agree: ranks that hold ask each other, so
- * this task may die, or be overtaken, between any two lines.
+ * Changes a group's map: prepares and arms it at all agents for the same step, and sends them the
+ * decision that follows from their votes. The group doesn't depend on this task to agree: agents of
+ * ranks that hold query each other, so the coordinator may be lost or replaced at any point.
  */
 export const runChange = async (
   options: CoordinatorOptions,
@@ -129,16 +133,16 @@
   const timings = { ...defaultTimings, ...options.timings };
   const { fence, map, nodes } = change;
   const { version } = map;
-  const giveUp = async <T extends ChangeOutcome>(outcome: T): Promise<T> => {
+  const abort = async <T extends ChangeOutcome>(outcome: T): Promise<T> => {
     await calls.askAll(nodes, 'experts.decide', { version, decision: 'abort' });
     return outcome;
   };
 
   const prepared = await prepareAll(options, calls, timings, change);
   if (prepared === 'overtaken') return prepared;
-  if (prepared !== 'prepared') return giveUp(prepared);
-  const atStep = await chooseStep(options, calls, change);
-  if (atStep === undefined) return giveUp('not-prepared');
+  if (prepared !== 'prepared') return abort(prepared);
+  const atStep = await chooseArmedStep(options, calls, change);
+  if (atStep === undefined) return abort('not-prepared');
 
   const decision = await armAll(options, calls, timings, change, { fence, version, atStep });
   if (!decision) return 'unsettled';
--- a/packages/experts/src/coordinator/election.ts
+++ b/packages/experts/src/coordinator/election.ts
@@ -6,18 +6,18 @@
 import type { GroupCalls } from './group-calls.js';
 import { coversGroup, isRefused } from './group-calls.js';
 
-/** Appends of one claim before it is given up. */
-const CLAIM_TRIES = 5;
+/** Largest number of appends of one claim. */
+const MAX_CLAIM_TRIES = 5;
 
-/** What became of a claim. */
+/** Outcome of a claim. */
 export type ClaimOutcome =
   { outcome: 'won'; fence: number } | { outcome: 'beaten' } | { outcome: 'log-down' };
 
-/** How an agent becomes its group's coordinator. */
+/** Election of an agent as coordinator of its group. */
 export interface Election {
-  /** True when all ranks can be reached and none of them hears from a coordinator. */
-  isVacant(): Promise<boolean>;
-  /** Claims the group in the log; the offset of the claim is the fencing number. */
+  /** Whether all ranks can be reached and none of them gets heartbeats from a coordinator. */
+  hasNoCoordinator(): Promise<boolean>;
+  /** Claims the group in the log; the offset of the claim is the fencing token. */
   claim(): Promise<ClaimOutcome>;
 }
 
@@ -28,9 +28,9 @@
   const claims = createGroupClaims(log);
   let serial = 0;
 
-  // A claim deposes the coordinator in office. An agent that alone has lost sight of it would
-  // depose it again and again, and could not act itself; so it asks the others first.
-  const isVacant = async (): Promise<boolean> => {
+  // A claim replaces the current coordinator. An agent that alone can't reach it would replace it
+  // again and again without being able to coordinate, so it queries the others first.
+  const hasNoCoordinator = async (): Promise<boolean> => {
     const peers = options.members();
     const answers = await calls.askAll<FenceAnswer>(
       peers.map((peer) => peer.node),
@@ -45,15 +45,16 @@
     return reached.every(({ answer }) => answer.silentMs >= timings.takeoverMs);
   };
 
-  const tryOnce = async (claim: GroupClaim): Promise<ClaimOutcome | undefined> => {
+  const appendClaim = async (claim: GroupClaim): Promise<ClaimOutcome | undefined> => {
     const appended = await log.append(GROUPS_TOPIC, 0, [claim]);
     if (!appended.ok && appended.err.kind !== 'unknown') return { outcome: 'log-down' };
     const read = await claims.catchUp();
     if (!read.ok) return { outcome: 'log-down' };
     const holder = claims.holder(group);
     if (holder?.claim.id === claim.id) return { outcome: 'won', fence: holder.fence };
-    if (claims.current(group) !== claim.replaces) return { outcome: 'beaten' };
-    // The answer was lost and so was the append; a second copy would not replace anything.
+    if (claims.currentFence(group) !== claim.replaces) return { outcome: 'beaten' };
+    // The append was lost together with its answer. If it still has an effect later, the duplicate
+    // replaces nothing.
     metrics.count('expert_claim_retries');
     return undefined;
   };
@@ -63,10 +64,10 @@
     if (!read.ok) return { outcome: 'log-down' };
     serial += 1;
     const id = `${instance}:${serial}`;
-    const replaces = claims.current(group);
+    const replaces = claims.currentFence(group);
     const record: GroupClaim = { kind: 'claim', id, group, replaces, node, instance };
-    for (let tries = 0; tries < CLAIM_TRIES; tries += 1) {
-      const outcome = await tryOnce(record);
+    for (let tries = 0; tries < MAX_CLAIM_TRIES; tries += 1) {
+      const outcome = await appendClaim(record);
       if (outcome) {
         metrics.count('expert_claims', { outcome: outcome.outcome });
         return outcome;
@@ -75,5 +76,5 @@
     return { outcome: 'log-down' };
   };
 
-  return { isVacant, claim };
+  return { hasNoCoordinator, claim };
 };
--- a/packages/experts/src/coordinator/forming.ts
+++ b/packages/experts/src/coordinator/forming.ts
@@ -4,27 +4,27 @@
 import type { GroupCalls } from './group-calls.js';
 import { isOvertaken, isRefused } from './group-calls.js';
 
-/** What became of an attempt to form the group. */
+/** Outcome of an attempt to form the group. */
 export type FormOutcome = 'formed' | 'overtaken' | 'incomplete';
 
-/** Whether an engine has nothing in memory, or one of its ranks. */
+/** Whether an engine has a blank rank, which has no map in memory. */
 export const isBlank = ({ ranks }: HeartbeatAnswer): boolean =>
   ranks.some(({ version }) => version === null);
 
 /**
- * Forms the group with a full map. Engines that still have a map go first, blank ones last: the
- * group can't step while a rank is blank, so it never steps with some ranks on the old map and
- * some on the new one, wherever this stops.
+ * Forms the group with a full map. Engines that have a map are formed before blank ones: the group
+ * can't step while a rank is blank, so it never steps with different maps, even if the coordinator
+ * is lost in between.
  */
 export const formGroup = async (
   options: CoordinatorOptions,
   calls: GroupCalls,
-  beats: ReadonlyMap<string, HeartbeatAnswer>,
+  replies: ReadonlyMap<string, HeartbeatAnswer>,
   args: FormArgs,
 ): Promise<FormOutcome> => {
   const timings = { ...defaultTimings, ...options.timings };
-  const formed = [...beats].filter(([, beat]) => !isBlank(beat)).map(([node]) => node);
-  const blank = [...beats].filter(([, beat]) => isBlank(beat)).map(([node]) => node);
+  const formed = [...replies].filter(([, reply]) => !isBlank(reply)).map(([node]) => node);
+  const blank = [...replies].filter(([, reply]) => isBlank(reply)).map(([node]) => node);
   for (const nodes of [formed, blank]) {
     const answers = await calls.askAll(nodes, 'experts.form', args, timings.prepareCallMs);
     if (isOvertaken(answers.values())) return 'overtaken';
--- a/packages/experts/src/coordinator/group-calls.ts
+++ b/packages/experts/src/coordinator/group-calls.ts
@@ -2,29 +2,34 @@
 import { defaultTimings } from '../types.js';
 import type { CoordinatorOptions, ExpertMethod, GroupPeer } from '../types.js';
 
-/** An answer, a refusal, or undefined when nothing came back. */
-export type Asked<T> = T | Refused | undefined;
+/** An answer, a refusal, or undefined when no answer was received. */
+export type CallResult<T> = T | Refused | undefined;
 
-/** Calls from a coordinator to the group's agents, its own included. */
+/** Calls from a coordinator to the group's agents, including its own. */
 export interface GroupCalls {
-  ask<T>(node: string, method: ExpertMethod, args: unknown, timeoutMs?: number): Promise<Asked<T>>;
+  ask<T>(
+    node: string,
+    method: ExpertMethod,
+    args: unknown,
+    timeoutMs?: number,
+  ): Promise<CallResult<T>>;
   askAll<T>(
     nodes: readonly string[],
     method: ExpertMethod,
     args: unknown,
     timeoutMs?: number,
-  ): Promise<Map<string, Asked<T>>>;
+  ): Promise<Map<string, CallResult<T>>>;
 }
 
 /** Whether an answer is a refusal. */
 export const isRefused = (answer: unknown): answer is Refused =>
   (answer as Partial<Refused> | undefined)?.outcome === 'refused';
 
-/** Whether a larger fencing number than the caller's is in force. */
+/** Whether an agent has accepted a larger fencing token than the coordinator's. */
 export const isOvertaken = (answers: Iterable<unknown>): boolean =>
   [...answers].some((answer) => isRefused(answer) && answer.reason === 'old-fence');
 
-/** Whether these agents together serve every rank of the group. */
+/** Whether the given nodes together serve every rank of the group. */
 export const coversGroup = (
   peers: readonly GroupPeer[],
   nodes: Iterable<string>,
@@ -49,7 +54,7 @@
     method: ExpertMethod,
     args: unknown,
     timeoutMs = timings.callMs,
-  ): Promise<Asked<T>> => {
+  ): Promise<CallResult<T>> => {
     if (node === options.node) {
       const value = await options.member.serve(method, args);
       return isLost(value) ? undefined : (value as T | Refused);
--- a/packages/experts/src/coordinator/group-view.ts
+++ b/packages/experts/src/coordinator/group-view.ts
@@ -5,13 +5,13 @@
 import { isBlank } from './forming.js';
 import type { Registrations } from './registration.js';
 
-/** What one round of heartbeats shows. */
+/** State of a group after a round of heartbeats. */
 export type GroupView =
   | { view: 'overtaken' | 'incomplete' | 'restarted' | 'settling' | 'mixed' }
-  | { view: 'blank'; beats: Map<string, HeartbeatAnswer> }
-  | { view: 'steady'; beats: Map<string, HeartbeatAnswer>; version: number };
+  | { view: 'blank'; replies: Map<string, HeartbeatAnswer> }
+  | { view: 'steady'; replies: Map<string, HeartbeatAnswer>; version: number };
 
-/** Sends a round of heartbeats and tells what state the group is in. */
+/** Sends a round of heartbeats and returns the state of the group. */
 export const viewGroup = async (
   options: CoordinatorOptions,
   calls: GroupCalls,
@@ -22,19 +22,19 @@
   const nodes = peers.map(({ node }) => node);
   const answers = await calls.askAll<HeartbeatAnswer>(nodes, 'experts.heartbeat', { fence });
   if (isOvertaken(answers.values())) return { view: 'overtaken' };
-  const beats = new Map(
+  const replies = new Map(
     [...answers].flatMap(([node, answer]): [string, HeartbeatAnswer][] =>
       answer && !isRefused(answer) ? [[node, answer]] : [],
     ),
   );
-  if (!coversGroup(peers, beats.keys(), options.layout.rankCount)) return { view: 'incomplete' };
-  const isKnown = [...beats].every(([node, beat]) => registered.get(node) === beat.instance);
+  if (!coversGroup(peers, replies.keys(), options.layout.rankCount)) return { view: 'incomplete' };
+  const isKnown = [...replies].every(([node, reply]) => registered.get(node) === reply.instance);
   if (!isKnown) return { view: 'restarted' };
-  if ([...beats.values()].some(isBlank)) return { view: 'blank', beats };
+  if ([...replies.values()].some(isBlank)) return { view: 'blank', replies };
 
-  const ranks = [...beats.values()].flatMap((beat) => beat.ranks);
+  const ranks = [...replies.values()].flatMap((reply) => reply.ranks);
   if (ranks.some(({ armed }) => armed !== null)) return { view: 'settling' };
   const [version = null, ...others] = new Set(ranks.map((rank) => rank.version));
   if (version === null || others.length > 0) return { view: 'mixed' };
-  return { view: 'steady', beats, version };
+  return { view: 'steady', replies, version };
 };
--- a/packages/experts/src/coordinator/rebalancer.ts
+++ b/packages/experts/src/coordinator/rebalancer.ts
@@ -1,7 +1,7 @@
 import type { HeartbeatAnswer, ReportAnswer } from '../messages.js';
 import { createExpertMap } from '../expert-map.js';
 import { createPlacementState } from '../plan/placement-state.js';
-import type { LoadView } from '../plan/placement-state.js';
+import type { GroupLoad } from '../plan/placement-state.js';
 import { planMap } from '../plan/plan-map.js';
 import type { MapPlan } from '../plan/plan-map.js';
 import { createTrackerFor, isWorthwhile, limitsFor } from '../plan/policy.js';
@@ -11,20 +11,20 @@
 import type { GroupCalls } from './group-calls.js';
 import { isRefused } from './group-calls.js';
 
-/** Decides when a group's map is worth a change, and to what. */
+/** Decides whether to change a group's map, and to which one. */
 export interface Rebalancer {
-  /** A new map is in use. */
+  /** Sets the map in use. */
   setMap(map: ExpertMapDocument): void;
-  /** Takes in rank times. */
-  recordTimes(beats: ReadonlyMap<string, HeartbeatAnswer>): void;
-  /** Collects reports and plans; undefined when the map should stay. */
+  /** Records the step times of the ranks. */
+  recordTimes(replies: ReadonlyMap<string, HeartbeatAnswer>): void;
+  /** Collects reports and plans a map; undefined when the current one should stay. */
   propose(nodes: readonly string[], fence: number): Promise<ExpertPlacement[][] | undefined>;
   stragglers(): { rank: number; speed: number }[];
   imbalance(): number | undefined;
 }
 
-/** Lets other tasks of the process run between two edits of a plan. */
-const breathe = (): Promise<void> =>
+/** Lets other tasks of the process run between edits of a plan. */
+const yieldToEventLoop = (): Promise<void> =>
   new Promise((resolve) => {
     setImmediate(resolve);
   });
@@ -38,18 +38,18 @@
   let map: ExpertMapDocument | undefined;
   let imbalance: number | undefined;
 
-  const loadView = (popularity: number[][]): LoadView => ({
+  const groupLoad = (popularity: number[][]): GroupLoad => ({
     popularity,
     speeds: speeds.speeds(),
     fixedShare: speeds.fixedShare(),
   });
 
-  const skip = (reason: string): undefined => {
+  const skipPlan = (reason: string): undefined => {
     metrics.count('expert_plans_skipped', { reason });
     return undefined;
   };
 
-  const collect = async (nodes: readonly string[], fence: number): Promise<boolean> => {
+  const collectReports = async (nodes: readonly string[], fence: number): Promise<boolean> => {
     const answers = await calls.askAll<ReportAnswer>(nodes, 'experts.report', { fence });
     const now = clock.monotonic();
     for (const [node, answer] of answers) {
@@ -62,32 +62,38 @@
   const plan = async (current: ExpertMapDocument, popularity: number[][]): Promise<MapPlan> => {
     const limits = limitsFor(options.weighs(), tracker.lifeMs(), layout.rankCount);
     const startedAt = clock.monotonic();
-    const made = await planMap(current.layers, layout, loadView(popularity), limits, breathe);
+    const newPlan = await planMap(
+      current.layers,
+      layout,
+      groupLoad(popularity),
+      limits,
+      yieldToEventLoop,
+    );
     metrics.record('expert_plan_ms', clock.monotonic() - startedAt);
-    metrics.gauge('expert_imbalance', made.before, { group });
-    imbalance = made.before;
-    return made;
+    metrics.gauge('expert_imbalance', newPlan.before, { group });
+    imbalance = newPlan.before;
+    return newPlan;
   };
 
   const propose: Rebalancer['propose'] = async (nodes, fence) => {
-    const isComplete = await collect(nodes, fence);
-    if (!isComplete) return skip('reports-missing');
+    const isComplete = await collectReports(nodes, fence);
+    if (!isComplete) return skipPlan('reports-missing');
     const popularity = tracker.popularity();
-    if (!map || !popularity) return skip('no-map');
-    if (!options.mayMove()) return skip('live-traffic');
-    const made = await plan(map, popularity);
-    if (!isWorthwhile(options.weighs(), made)) return skip('gain-too-small');
-    metrics.count('expert_moves_planned', { group }, made.moves.length);
-    return made.layers;
+    if (!map || !popularity) return skipPlan('no-map');
+    if (!options.mayMove()) return skipPlan('live-traffic');
+    const newPlan = await plan(map, popularity);
+    if (!isWorthwhile(options.weighs(), newPlan)) return skipPlan('gain-too-small');
+    metrics.count('expert_moves_planned', { group }, newPlan.moves.length);
+    return newPlan.layers;
   };
 
-  const recordTimes: Rebalancer['recordTimes'] = (beats) => {
+  const recordTimes: Rebalancer['recordTimes'] = (replies) => {
     const popularity = tracker.popularity();
     if (!map || !popularity) return;
     const even = { popularity, speeds: speeds.speeds().map(() => 1), fixedShare: 0 };
     const work = createPlacementState(map.layers, layout, even).times;
     const times = new Array<number | undefined>(layout.rankCount).fill(undefined);
-    for (const { ranks } of beats.values()) {
+    for (const { ranks } of replies.values()) {
       ranks.forEach(({ rank, stepTimeUs }) => {
         times[rank] = stepTimeUs;
       });
--- a/packages/experts/src/coordinator/registration.ts
+++ b/packages/experts/src/coordinator/registration.ts
@@ -1,16 +1,16 @@
 import type { Registered } from '../messages.js';
 import type { CoordinatorOptions } from '../types.js';
-import type { Asked, GroupCalls } from './group-calls.js';
+import type { CallResult, GroupCalls } from './group-calls.js';
 import { coversGroup, isOvertaken, isRefused } from './group-calls.js';
 
-/** The processes that have registered a fencing number, by node. */
+/** Instances of the processes that have registered a fencing token, by node. */
 export type Registrations = ReadonlyMap<string, string>;
 
-/** What became of a registration. */
+/** Outcome of a registration. */
 export type RegistrationOutcome =
   { outcome: 'registered'; instances: Registrations } | { outcome: 'overtaken' | 'incomplete' };
 
-const instancesOf = (answers: Map<string, Asked<Registered>>): Map<string, string> =>
+const instancesOf = (answers: Map<string, CallResult<Registered>>): Map<string, string> =>
   new Map(
     [...answers].flatMap(([node, answer]): [string, string][] =>
       answer && !isRefused(answer) ? [[node, answer.instance]] : [],
@@ -18,9 +18,10 @@
   );
 
 /**
- * Registers a fencing number with agents of every rank, then checks that they are still the same
- * processes. The second round is for agents that restart while the log is down and ask the others
- * for the number: at the end of the first round every agent knows it, and none has forgotten it.
+ * Registers a fencing token with the agents of all ranks, then checks that they are still the same
+ * processes. An agent that restarts while the log is down recovers the token from the others; the
+ * second round ensures that every agent knew the token at the end of the first and none has lost
+ * it.
  */
 export const registerFence = async (
   options: CoordinatorOptions,
--- a/packages/experts/src/decision.ts
+++ b/packages/experts/src/decision.ts
@@ -1,9 +1,8 @@
 import type { Decision, Vote } from './messages.js';
 
 /**
- * What the votes of a group decide, if they do. All ranks armed: switch. One refusal: abort. Both
- * can't be seen, by anybody at any time, because each engine gives one of the two votes for good;
- * so everyone who decides, decides the same.
+ * Decision that follows from the votes, if they suffice: switch when all ranks are armed, abort
+ * when one refused. An engine's vote is final, so no two agents can come to different decisions.
  */
 export const decisionOf = (votes: readonly Vote[], rankCount: number): Decision | undefined => {
   if (votes.some(({ vote }) => vote === 'refused')) return 'abort';
--- a/packages/experts/src/expert-map.ts
+++ b/packages/experts/src/expert-map.ts
@@ -2,7 +2,7 @@
 import { fail, ok } from '@plantaindrum/common';
 import type { ExpertMapDocument, ExpertPlacement, GroupLayout } from './types.js';
 
-/** One broken rule of an expert map. */
+/** A violated rule of an expert map. */
 export type MapFault =
   | { fault: 'no-replica'; layer: number; expert: number }
   | { fault: 'unknown-rank'; layer: number; expert: number; rank: number }
@@ -12,18 +12,18 @@
   | { fault: 'wrong-layers'; layers: number }
   | { fault: 'version-not-larger'; version: number; current: number };
 
-/** One expert's weights that a rank has to load. */
+/** An expert that a rank has to load. */
 export interface ExpertMove {
   layer: number;
   expert: number;
   rank: number;
 }
 
-/** A valid expert map; it changes only into a valid map of a larger version. */
+/** A valid expert map. Its successor must be valid and have a larger version. */
 export interface ExpertMap {
   readonly document: ExpertMapDocument;
   readonly layout: GroupLayout;
-  /** The map that follows this one, if it keeps the rules. */
+  /** Creates the successor of this map, if the document is valid. */
   next(document: ExpertMapDocument): Result<ExpertMap, MapFault[]>;
 }
 
@@ -33,10 +33,10 @@
   layout: GroupLayout,
 ): MapFault[] => {
   const unknown = ranks.filter((rank) => rank < 0 || rank >= layout.rankCount);
-  const doubled = ranks.filter((rank, at) => ranks.indexOf(rank) !== at);
+  const duplicated = ranks.filter((rank, at) => ranks.indexOf(rank) !== at);
   return [
     ...unknown.map((rank): MapFault => ({ fault: 'unknown-rank', layer, expert, rank })),
-    ...doubled.map((rank): MapFault => ({ fault: 'twice-on-rank', layer, expert, rank })),
+    ...duplicated.map((rank): MapFault => ({ fault: 'twice-on-rank', layer, expert, rank })),
   ];
 };
 
@@ -68,14 +68,14 @@
   ];
 };
 
-/** All broken rules of a map. */
+/** Returns all violated rules of a map. */
 export const faultsOfMap = (document: ExpertMapDocument, layout: GroupLayout): MapFault[] => {
   const { layers } = document;
   if (layers.length !== layout.layers) return [{ fault: 'wrong-layers', layers: layers.length }];
   return layers.flatMap((placements, layer) => faultsOfLayer(placements, layer, layout));
 };
 
-/** Creates the aggregate from a document that keeps the rules. */
+/** Creates an expert map from a valid document. */
 export const createExpertMap = (
   document: ExpertMapDocument,
   layout: GroupLayout,
@@ -85,15 +85,15 @@
   return ok({
     document,
     layout,
-    next: (following) => {
-      const { version } = following;
-      if (version > document.version) return createExpertMap(following, layout);
+    next: (nextDocument) => {
+      const { version } = nextDocument;
+      if (version > document.version) return createExpertMap(nextDocument, layout);
       return fail([{ fault: 'version-not-larger', version, current: document.version }]);
     },
   });
 };
 
-/** The weights that ranks have to load to go from one map to another. */
+/** Returns the experts that ranks have to load to change from one map to another. */
 export const movesBetween = (
   from: readonly ExpertPlacement[][],
   to: readonly ExpertPlacement[][],
@@ -106,8 +106,8 @@
   });
 
 /**
- * The map of a group that nothing is known of: each expert as often as ranks allow, each rank with
- * work in every layer, the layers turned against each other.
+ * Returns an even map, for a group without load data. Every expert has the same number of replicas,
+ * as many as there are ranks for, and placements are rotated from layer to layer.
  */
 export const evenLayers = (layout: GroupLayout): ExpertPlacement[][] => {
   const { rankCount, experts } = layout;
--- a/packages/experts/src/fence-recovery.ts
+++ b/packages/experts/src/fence-recovery.ts
@@ -6,7 +6,7 @@
 const fenceFromLog = async (options: GroupMemberOptions): Promise<number | undefined> => {
   const claims = createGroupClaims(options.log);
   const read = await claims.catchUp();
-  return read.ok ? claims.floor(options.group) : undefined;
+  return read.ok ? claims.minFence(options.group) : undefined;
 };
 
 const fenceOfPeer = async (
@@ -18,9 +18,9 @@
   return reply.outcome === 'answered' ? (reply.value as FenceAnswer).fence : undefined;
 };
 
-// A coordinator acts only after every agent has registered its number and has then been seen in
-// the same process once more. So from its first order on, every agent that remembers anything
-// remembers this number or a larger one, and the largest of all others' numbers is enough.
+// A coordinator acts only after every agent has registered its fencing token and was then seen to
+// be the same process still. From its first order on, every agent that knows any token knows this
+// one or a larger one, so the largest token of all other agents is sufficient.
 const fenceFromPeers = async (
   options: GroupMemberOptions,
   callMs: number,
@@ -34,20 +34,24 @@
 };
 
 /**
- * Finds the smallest fencing number that a process with nothing in memory may obey: from the log,
- * or from all the other agents while the log is down. Until then it obeys nobody: a coordinator
- * that was replaced long ago would otherwise find one agent that takes its orders.
+ * Recovers the smallest fencing token that a new process may accept: from the log, or from all
+ * other agents while the log is down. Until then it accepts none, or it could execute orders of a
+ * coordinator that was replaced long ago.
  */
 export const recoverFence = async (
   options: GroupMemberOptions,
   timings: GroupTimings,
   isClosed: () => boolean,
 ): Promise<number | undefined> => {
-  for (let wait = timings.askAfterMs; !isClosed(); wait = Math.min(wait * 2, timings.watchMs)) {
+  for (
+    let retryDelayMs = timings.askAfterMs;
+    !isClosed();
+    retryDelayMs = Math.min(retryDelayMs * 2, timings.watchMs)
+  ) {
     const fence = (await fenceFromLog(options)) ?? (await fenceFromPeers(options, timings.callMs));
     if (fence !== undefined) return fence;
     options.metrics.count('expert_fence_recovery_retries');
-    await sleep(options.clock, wait * (1 + options.random()));
+    await sleep(options.clock, retryDelayMs * (1 + options.random()));
   }
   return undefined;
 };
--- a/packages/experts/src/group-claims.ts
+++ b/packages/experts/src/group-claims.ts
@@ -2,41 +2,41 @@
 import { ok } from '@plantaindrum/common';
 import type { Log, LogFailure, LogRecord } from '@plantaindrum/service-clients';
 
-/** The log topic of the groups' claims; one partition, so that offsets order all claims. */
+/** Log topic of the groups' claims; it has one partition, so that offsets order all claims. */
 export const GROUPS_TOPIC = 'plantaindrum.groups';
 const PARTITION = 0;
 
-/** A coordinator's claim to a group; its offset becomes its fencing number. */
+/** A coordinator's claim to a group; the offset of the record is the fencing token. */
 export interface GroupClaim {
   kind: 'claim';
-  /** Unique, so that an append whose answer was lost can be looked up. */
+  /** Unique id, to find the claim in the log when the answer to its append was lost. */
   id: string;
   group: string;
-  /** The fencing number that this claim follows; -1 for none. */
+  /** Fencing token of the claim that this one replaces; -1 for none. */
   replaces: number;
   node: string;
   instance: string;
 }
 
-/** The claim that holds a group. */
+/** The claim that currently holds a group. */
 export interface ClaimHolder {
   fence: number;
   claim: GroupClaim;
 }
 
-/** Replays the groups topic; every reader comes to the same holders. */
+/** Replay of the groups topic; all readers find the same holders. */
 export interface GroupClaims {
-  /** Reads up to the end that the log has now. */
+  /** Reads up to the current end of the log. */
   catchUp(): Promise<Result<void, LogFailure>>;
   /** Holder of a group, as of the last `catchUp`. */
   holder(group: string): ClaimHolder | undefined;
   /**
-   * Smallest fencing number that may still be obeyed. Claims that have aged out of the log count
-   * as beaten: the log can no longer show which of them was the last.
+   * Smallest fencing token that may be accepted. Claims that have expired from the log count as
+   * replaced: the log no longer shows which of them was the last.
    */
-  floor(group: string): number;
-  /** What a new claim has to replace: the holder's fence, -1 for none or one that aged out. */
-  current(group: string): number;
+  minFence(group: string): number;
+  /** Token that a new claim has to replace: the holder's, or -1 for none or an expired one. */
+  currentFence(group: string): number;
 }
 
 const isClaim = (value: unknown): value is GroupClaim => {
@@ -52,31 +52,32 @@
 /** Creates a reader of the claims in this log. */
 export const createGroupClaims = (log: Log): GroupClaims => {
   const holders = new Map<string, ClaimHolder>();
-  let next = 0;
-  let beginning = 0;
+  let nextOffset = 0;
+  let logBeginning = 0;
 
-  const current = (group: string): number => {
+  const currentFence = (group: string): number => {
     const fence = holders.get(group)?.fence ?? -1;
-    return fence >= beginning ? fence : -1;
+    return fence >= logBeginning ? fence : -1;
   };
 
   const replay = ({ offset, value }: LogRecord): void => {
-    next = offset + 1;
+    nextOffset = offset + 1;
     if (!isClaim(value)) return;
-    // A claim made against a state that has changed since lost the race. One against a state that
-    // aged out can't be judged any more; obeying its larger number refuses more, never less.
-    const isCurrent = value.replaces === current(value.group);
-    const isUnjudgeable = value.replaces >= 0 && value.replaces < beginning;
-    if (isCurrent || isUnjudgeable) holders.set(value.group, { fence: offset, claim: value });
+    // A claim that replaces an outdated token lost the race. Whether one that replaces an expired
+    // token won can't be verified any more; accepting it is safe, as a larger token only refuses
+    // more.
+    const isCurrent = value.replaces === currentFence(value.group);
+    const isUnverifiable = value.replaces >= 0 && value.replaces < logBeginning;
+    if (isCurrent || isUnverifiable) holders.set(value.group, { fence: offset, claim: value });
   };
 
   const catchUp = async (): Promise<Result<void, LogFailure>> => {
     const offsets = await log.offsets(GROUPS_TOPIC, PARTITION);
     if (!offsets.ok) return offsets;
-    beginning = Math.max(beginning, offsets.value.beginning);
-    next = Math.max(next, beginning);
-    while (next < offsets.value.end) {
-      const records = await log.read(GROUPS_TOPIC, PARTITION, next, 0);
+    logBeginning = Math.max(logBeginning, offsets.value.beginning);
+    nextOffset = Math.max(nextOffset, logBeginning);
+    while (nextOffset < offsets.value.end) {
+      const records = await log.read(GROUPS_TOPIC, PARTITION, nextOffset, 0);
       if (!records.ok) return records;
       if (records.value.length === 0) return ok(undefined);
       records.value.forEach(replay);
@@ -87,7 +88,7 @@
   return {
     catchUp,
     holder: (group) => holders.get(group),
-    floor: (group) => Math.max(holders.get(group)?.fence ?? -1, beginning - 1),
-    current,
+    minFence: (group) => Math.max(holders.get(group)?.fence ?? -1, logBeginning - 1),
+    currentFence,
   };
 };
--- a/packages/experts/src/group-member.ts
+++ b/packages/experts/src/group-member.ts
@@ -17,8 +17,8 @@
   ReportAnswer,
   Vote,
 } from './messages.js';
-import { createExclusive } from './mutex.js';
-import { createSettlements } from './settlement.js';
+import { createMutex } from './mutex.js';
+import { createInDoubtChanges } from './in-doubt-changes.js';
 import { sparseTokens } from './tokens.js';
 import { defaultTimings } from './types.js';
 import type {
@@ -29,52 +29,55 @@
   OrderOutcome,
 } from './types.js';
 
-/** Maps that are kept for a coordinator that takes over: the one in use and one in preparation. */
-const KEPT_MAPS = 4;
+/**
+ * Largest number of stored maps. A coordinator that takes over needs the one in use and the one in
+ * preparation.
+ */
+const MAX_STORED_MAPS = 4;
 
 type Answer<T> = T | Refused | Lost;
 
-/** Creates the part of an agent that obeys the group's coordinator; see docs/decisions. */
+/** Creates the group member of one agent; see docs/decisions. */
 export const createGroupMember = (options: GroupMemberOptions): GroupMember => {
   const { engine, clock, metrics, logger } = options;
   const timings = { ...defaultTimings, ...options.timings };
-  const exclusive = createExclusive();
+  const runExclusive = createMutex();
   const maps = new Map<number, ExpertMapDocument>();
   let fence: number | undefined;
   let heartbeatAt = clock.monotonic();
   let closed = false;
 
-  const votes = createEngineVotes(engine, options.ranks, exclusive, () => fence);
-  const settlements = createSettlements(options, timings, votes);
+  const votes = createEngineVotes(engine, options.ranks, runExclusive, () => fence);
+  const inDoubtChanges = createInDoubtChanges(options, timings, votes);
 
   const refuse = (reason: string): Refused => {
     metrics.count('expert_order_refusals', { reason });
     return { outcome: 'refused', reason, fence };
   };
 
-  // Engines of some deployments take orders with any number, so the check must stand here too.
-  const refusalOf = (args: Fenced): Refused | undefined => {
+  // Some engines accept orders with any fencing token, so it is checked here too.
+  const checkFence = (args: Fenced): Refused | undefined => {
     if (fence === undefined) return refuse('fence-unknown');
     if (args.fence < fence) return refuse('old-fence');
     fence = args.fence;
     return undefined;
   };
 
-  const answerTo = (order: OrderOutcome): Answer<{ outcome: 'done' }> =>
+  const answerFromOrder = (order: OrderOutcome): Answer<{ outcome: 'done' }> =>
     order.outcome === 'refused' ? refuse(order.reason) : order;
 
-  const keepMap = (map: ExpertMapDocument): void => {
+  const storeMap = (map: ExpertMapDocument): void => {
     maps.delete(map.version);
     maps.set(map.version, map);
     const [oldest] = maps.keys();
-    if (maps.size > KEPT_MAPS && oldest !== undefined) maps.delete(oldest);
+    if (maps.size > MAX_STORED_MAPS && oldest !== undefined) maps.delete(oldest);
   };
 
-  // Runs in turn with the orders to the engine: once the answer is out, no order under a smaller
-  // number is still on its way there.
+  // Runs in sequence with the orders to the engine: once it is answered, no order with a smaller
+  // fencing token is in flight to the engine.
   const register = (args: RegisterArgs): Promise<Answer<Registered>> =>
-    exclusive(async () => {
-      const refusal = refusalOf(args);
+    runExclusive(async () => {
+      const refusal = checkFence(args);
       if (refusal) return refusal;
       if ((args.expectInstance ?? options.instance) !== options.instance) {
         return refuse('restarted');
@@ -84,24 +87,24 @@
     });
 
   const heartbeat = async (args: Fenced): Promise<Answer<HeartbeatAnswer>> => {
-    const refusal = refusalOf(args);
+    const refusal = checkFence(args);
     if (refusal?.reason === 'old-fence') return refusal;
     heartbeatAt = clock.monotonic();
     if (refusal) return refusal;
     const state = await engine.state();
     if (!state) return { outcome: 'lost' };
-    const ranks = state.ranks.map(({ rank, step, version, armed, step_time_us: usPerStep }) => ({
+    const ranks = state.ranks.map(({ rank, step, version, armed, step_time_us: stepTimeUs }) => ({
       rank,
       step,
       version,
       armed: armed?.version ?? null,
-      stepTimeUs: usPerStep,
+      stepTimeUs,
     }));
     return { outcome: 'ok', instance: options.instance, ranks };
   };
 
   const report = async (args: Fenced): Promise<Answer<ReportAnswer>> => {
-    const refusal = refusalOf(args);
+    const refusal = checkFence(args);
     if (refusal) return refusal;
     const state = await engine.state();
     if (!state) return { outcome: 'lost' };
@@ -109,49 +112,49 @@
   };
 
   const form = (args: FormArgs): Promise<Answer<{ outcome: 'done' }>> =>
-    exclusive(async () => {
-      const refusal = refusalOf(args);
+    runExclusive(async () => {
+      const refusal = checkFence(args);
       if (refusal) return refusal;
       const state = await engine.state();
       if (!state) return { outcome: 'lost' };
-      const used = state.ranks.map((rank) => rank.version ?? -1);
-      if (used.every((version) => version === args.version)) return { outcome: 'done' };
-      // A late duplicate would take this rank back to a map that the group has left.
-      if (Math.max(...used) >= args.version) return refuse('old-version');
-      keepMap(args.map);
+      const versionsInUse = state.ranks.map((rank) => rank.version ?? -1);
+      if (versionsInUse.every((version) => version === args.version)) return { outcome: 'done' };
+      // A late duplicate would return this rank to a map that the group no longer uses.
+      if (Math.max(...versionsInUse) >= args.version) return refuse('old-version');
+      storeMap(args.map);
       const { version, rankCount, map } = args;
       const body = { fence: args.fence, group: options.group, rank_count: rankCount, version, map };
-      return answerTo(await engine.order('form_group', body));
+      return answerFromOrder(await engine.order('form_group', body));
     });
 
-  // Not in turn with the other orders: loading takes seconds, and it changes no vote.
+  // Not in sequence with the other orders: loading takes seconds and changes no vote.
   const prepare = async (args: PrepareArgs): Promise<Answer<{ outcome: 'done' }>> => {
-    const refusal = refusalOf(args);
+    const refusal = checkFence(args);
     if (refusal) return refusal;
-    keepMap(args.map);
+    storeMap(args.map);
     const { version, map } = args;
-    return answerTo(await engine.order('prepare_map', { fence: args.fence, version, map }));
+    return answerFromOrder(await engine.order('prepare_map', { fence: args.fence, version, map }));
   };
 
   const armNow = async (args: ArmArgs): Promise<boolean> => {
-    if (refusalOf(args)) return false;
+    if (checkFence(args)) return false;
     const body = { fence: args.fence, version: args.version, at_step: args.atStep };
     const order = await engine.order('arm_map', body);
     if (order.outcome === 'refused') refuse(order.reason);
     return order.outcome !== 'refused';
   };
 
-  // Whatever the order came to, the answer is this engine's vote: armed, or refused for good.
-  // An arm that was only turned down could still succeed later, by a copy of the message.
+  // Whatever the outcome of the order, the answer is the engine's vote: armed, or refused for good.
+  // Without the vote, a duplicate of the message could still arm the engine after a refusal.
   const arm = async (args: ArmArgs): Promise<Vote> => {
-    const mayBeArmed = await exclusive(() => armNow(args));
-    if (mayBeArmed) settlements.settle(args.version);
+    const mayBeArmed = await runExclusive(() => armNow(args));
+    if (mayBeArmed) inDoubtChanges.resolveChange(args.version);
     return votes.vote(args.version);
   };
 
   const decide = async (args: DecideArgs): Promise<{ outcome: 'done' }> => {
-    const isSettling = settlements.undecided().includes(args.version);
-    if (isSettling) settlements.decide(args.version, args.decision);
+    const isInDoubt = inDoubtChanges.undecided().includes(args.version);
+    if (isInDoubt) inDoubtChanges.decide(args.version, args.decision);
     else await votes.apply(args.version, args.decision);
     return { outcome: 'done' };
   };
@@ -183,37 +186,37 @@
     }
   };
 
-  // A process that starts finds in the engine what the one before it had armed.
-  const settleArmed = async (): Promise<void> => {
+  // After a restart, the engine still has the maps that the earlier process armed.
+  const resolveArmedMaps = async (): Promise<void> => {
     const state = await engine.state();
     for (const { armed } of state?.ranks ?? []) {
-      if (armed && !armed.decided) settlements.settle(armed.version);
+      if (armed && !armed.decided) inDoubtChanges.resolveChange(armed.version);
     }
   };
 
-  const watch = async (): Promise<void> => {
+  const watchEngine = async (): Promise<void> => {
     while (!closed) {
-      await settleArmed();
+      await resolveArmedMaps();
       await sleep(clock, timings.watchMs);
     }
   };
 
   const recover = async (): Promise<void> => {
-    const found = await recoverFence(options, timings, () => closed);
-    if (found !== undefined) fence = Math.max(found, fence ?? -1);
-    logger.info(`group ${options.group}: obeys fencing numbers from ${fence}`);
+    const recoveredFence = await recoverFence(options, timings, () => closed);
+    if (recoveredFence !== undefined) fence = Math.max(recoveredFence, fence ?? -1);
+    logger.info(`group ${options.group}: accepts fencing tokens from ${fence}`);
   };
 
   return {
     serve,
     run: async () => {
-      await Promise.all([recover(), watch()]);
+      await Promise.all([recover(), watchEngine()]);
     },
     close: () => {
       closed = true;
-      settlements.close();
+      inDoubtChanges.close();
     },
-    lastHeartbeat: () => heartbeatAt,
-    status: () => ({ group: options.group, fence, undecided: settlements.undecided() }),
+    lastHeartbeatAt: () => heartbeatAt,
+    status: () => ({ group: options.group, fence, undecided: inDoubtChanges.undecided() }),
   };
 };
--- a/packages/experts/src/messages.ts
+++ b/packages/experts/src/messages.ts
@@ -1,116 +1,119 @@
 import type { EngineState, ExpertMapDocument } from './types.js';
 
-/** Why an agent does not obey a coordinator. */
+/** Why an agent refuses a coordinator's order. */
 export type FenceRefusal = 'old-fence' | 'fence-unknown' | 'restarted';
 
-/** A coordinator's order was not obeyed; `fence` is the smallest number that would be. */
+/** A refused order; `fence` is the smallest fencing token that the agent accepts. */
 export interface Refused {
   outcome: 'refused';
   reason: string;
   fence: number | undefined;
 }
 
-/** The engine or the link gave no answer: the order may still take effect. */
+/** An order without an answer from the engine or the link; it may still take effect. */
 export interface Lost {
   outcome: 'lost';
 }
 
-/** Every order carries the number of the claim that it rests on. */
+/** Fencing token that every order carries: the offset of its coordinator's claim. */
 export interface Fenced {
   fence: number;
 }
 
-/** Second round of registration: still the process that registered in the first one? */
+/** Registers a fencing token; `expectInstance` is set in the second round, to detect restarts. */
 export interface RegisterArgs extends Fenced {
   expectInstance?: string;
 }
 
-/** The agent obeys this fence, or a larger one, from now on. */
+/** From now on, the agent accepts only this fencing token or larger ones. */
 export interface Registered {
   outcome: 'registered';
   instance: string;
   state: EngineState | undefined;
 }
 
-/** What an agent tells whoever asks about its coordinator. */
+/** Answer to a query about the agent's coordinator. */
 export interface FenceAnswer {
   fence: number | undefined;
-  /** Time since the last heartbeat of a coordinator that is obeyed. */
+  /** Time since the last heartbeat with an accepted fencing token, in milliseconds. */
   silentMs: number;
 }
 
-/** One rank in brief. */
-export interface RankBeat {
+/** State of one rank in a heartbeat answer. */
+export interface RankHeartbeat {
   rank: number;
   step: number;
-  /** The map in use; null for an engine with nothing in memory. */
+  /** The map in use; null for a blank engine. */
   version: number | null;
   armed: number | null;
-  /** The rank's own work in its last step. */
+  /** Time of the rank's own work in its last step, in microseconds. */
   stepTimeUs: number;
 }
 
-/** One engine in brief; rides on heartbeats. */
+/** Answer to a heartbeat, with the state of the engine's ranks. */
 export interface HeartbeatAnswer {
   outcome: 'ok';
   instance: string;
-  ranks: RankBeat[];
+  ranks: RankHeartbeat[];
 }
 
 /**
- * Tokens that one engine computed since it was formed. Only the experts that it holds are listed,
- * so the reports of a group grow with its replicas and not with its ranks times its experts.
+ * Tokens that one engine has computed since it was formed. Only experts with tokens are listed, so
+ * that the reports of a group grow with its replicas and not with its ranks times its experts.
  */
 export interface ReportAnswer {
   outcome: 'ok';
-  /** Layer times experts in a layer, plus expert. */
+  /** Indexes of the experts: the layer times the experts per layer, plus the expert. */
   at: number[];
   tokens: number[];
 }
 
-/** Start the group with this map. */
+/** Forms the group with a map. */
 export interface FormArgs extends Fenced {
   version: number;
   rankCount: number;
   map: ExpertMapDocument;
 }
 
-/** Load the weights for this map. */
+/** Loads the weights for a map. */
 export interface PrepareArgs extends Fenced {
   version: number;
   map: ExpertMapDocument;
 }
 
-/** Hold before `atStep` until the change is decided. */
+/** Holds the ranks before `atStep` until the change is decided. */
 export interface ArmArgs extends Fenced {
   version: number;
   atStep: number;
 }
 
-/** How a change ended; a fact about the group, so it needs no fence. */
+/** Decision on a change. It is a fact about the group, so it needs no fencing token. */
 export type Decision = 'switch' | 'abort';
 
-/** Tells an armed rank how the change ended. */
+/** Sends the decision on a change to armed ranks. */
 export interface DecideArgs {
   version: number;
   decision: Decision;
 }
 
-/** Asks how this agent's ranks stand to a version; ranks that are not armed refuse it for good. */
+/**
+ * Queries the vote of an agent's ranks on a version; ranks that are not armed then refuse it for
+ * good.
+ */
 export interface OutcomeArgs {
   version: number;
 }
 
 /**
- * How the ranks of one engine stand to a version. `armed` and `refused` exclude each other for
- * good; `unknown` means that the engine could not be asked.
+ * Vote of one engine's ranks on a version. `armed` and `refused` exclude each other for good;
+ * `unknown` means that the engine could not be queried.
  */
 export interface Vote {
   vote: 'armed' | 'switched' | 'refused' | 'unknown';
   ranks: readonly number[];
 }
 
-/** Which map document to send. */
+/** Fetches the map document of a version. */
 export interface MapArgs {
   version: number;
 }
--- a/packages/experts/src/mutex.ts
+++ b/packages/experts/src/mutex.ts
@@ -1,12 +1,12 @@
-/** Runs jobs one after the other. */
-export type Exclusive = <T>(job: () => Promise<T>) => Promise<T>;
+/** Runs a job after all earlier ones have ended. */
+export type RunExclusive = <T>(job: () => Promise<T>) => Promise<T>;
 
-/** Creates a queue of one: a job starts when the one before it has ended. */
-export const createExclusive = (): Exclusive => {
-  let tail: Promise<unknown> = Promise.resolve();
+/** Creates a mutex, which runs one job at a time, in the order of the calls. */
+export const createMutex = (): RunExclusive => {
+  let last: Promise<unknown> = Promise.resolve();
   return (job) => {
-    const turn = tail.then(job);
-    tail = turn.catch(() => {});
-    return turn;
+    const result = last.then(job);
+    last = result.catch(() => {});
+    return result;
   };
 };
--- a/packages/experts/src/plan/placement-state.ts
+++ b/packages/experts/src/plan/placement-state.ts
@@ -1,36 +1,38 @@
 import type { ExpertPlacement, GroupLayout } from '../types.js';
 
-/** What the planner knows of the group's load. */
-export interface LoadView {
-  /** Share of each layer's tokens by expert; each layer sums to 1. */
+/** Load of a group, as input of the planner. */
+export interface GroupLoad {
+  /** Fraction of each layer's tokens by expert; each layer sums to 1. */
   popularity: readonly (readonly number[])[];
-  /** Speed of each rank relative to the median; 1 is usual. */
+  /** Speed of each rank relative to the median; 1 is normal. */
   speeds: readonly number[];
-  /** Share of a usual rank's step time that does not depend on its tokens. */
+  /** Fraction of a normal rank's step time that doesn't depend on its tokens. */
   fixedShare: number;
 }
 
-/** Replicas and rank times of a map that is being planned. */
+/** Replicas and predicted rank times of a map that is being planned. */
 export interface PlacementState {
-  /** Predicted time of each rank in a step; 1 is an even group's without stragglers. */
+  /** Predicted step time of each rank; 1 is that of an evenly loaded group without stragglers. */
   readonly times: Float64Array;
   /** Ranks that hold an expert. */
   hosts(layer: number, expert: number): readonly number[];
   /** Experts of a layer on a rank. */
   held(rank: number, layer: number): readonly number[];
-  /** Time that one replica costs a rank, when its expert has so many replicas. */
+  /** Step time that a replica adds to a rank when its expert has this number of replicas. */
   cost(layer: number, expert: number, rank: number, replicas: number): number;
+  /** Adds a replica. */
   add(layer: number, expert: number, rank: number): void;
+  /** Removes a replica. */
   remove(layer: number, expert: number, rank: number): void;
-  /** The placements as a map's layers. */
+  /** The placements as layers of a map. */
   layers(): ExpertPlacement[][];
 }
 
-/** Creates the state of a map under a load. */
+/** Creates the placement state of a map under a load. */
 export const createPlacementState = (
   layers: readonly ExpertPlacement[][],
   layout: GroupLayout,
-  load: LoadView,
+  load: GroupLoad,
 ): PlacementState => {
   const { rankCount } = layout;
   const times = Float64Array.from(load.speeds, (speed) => load.fixedShare / speed);
@@ -40,31 +42,32 @@
     return byExpert;
   });
   const held: number[][][] = Array.from({ length: rankCount }, () => layers.map(() => []));
-  const unit = ((1 - load.fixedShare) * rankCount) / layers.length;
+  const timePerShare = ((1 - load.fixedShare) * rankCount) / layers.length;
 
   const cost = (layer: number, expert: number, rank: number, replicas: number): number =>
-    (((load.popularity[layer]?.[expert] ?? 0) / replicas) * unit) / (load.speeds[rank] ?? 1);
+    (((load.popularity[layer]?.[expert] ?? 0) / replicas) * timePerShare) /
+    (load.speeds[rank] ?? 1);
 
   const hostsOf = (layer: number, expert: number): number[] => hosts[layer]?.[expert] ?? [];
   const heldBy = (rank: number, layer: number): number[] => held[rank]?.[layer] ?? [];
 
-  const shift = (layer: number, expert: number, replicas: number, sign: 1 | -1): void => {
+  const addCosts = (layer: number, expert: number, replicas: number, sign: 1 | -1): void => {
     for (const rank of hostsOf(layer, expert)) {
       times[rank] = (times[rank] ?? 0) + sign * cost(layer, expert, rank, replicas);
     }
   };
 
-  const change = (layer: number, expert: number, edit: (ranks: number[]) => void): void => {
+  const editHosts = (layer: number, expert: number, edit: (ranks: number[]) => void): void => {
     const ranks = hostsOf(layer, expert);
-    shift(layer, expert, ranks.length, -1);
+    addCosts(layer, expert, ranks.length, -1);
     edit(ranks);
-    shift(layer, expert, ranks.length, 1);
+    addCosts(layer, expert, ranks.length, 1);
   };
 
   hosts.forEach((byExpert, layer) =>
     byExpert.forEach((ranks, expert) => {
       ranks.forEach((rank) => heldBy(rank, layer).push(expert));
-      shift(layer, expert, ranks.length, 1);
+      addCosts(layer, expert, ranks.length, 1);
     }),
   );
 
@@ -74,11 +77,11 @@
     held: heldBy,
     cost,
     add: (layer, expert, rank) => {
-      change(layer, expert, (ranks) => ranks.push(rank));
+      editHosts(layer, expert, (ranks) => ranks.push(rank));
       heldBy(rank, layer).push(expert);
     },
     remove: (layer, expert, rank) => {
-      change(layer, expert, (ranks) => ranks.splice(ranks.indexOf(rank), 1));
+      editHosts(layer, expert, (ranks) => ranks.splice(ranks.indexOf(rank), 1));
       const experts = heldBy(rank, layer);
       experts.splice(experts.indexOf(expert), 1);
     },
@@ -89,9 +92,9 @@
   };
 };
 
-/** The slowest rank's time; it is the group's. */
-export const slowest = (state: PlacementState): number => Math.max(...state.times);
+/** Predicted step time of the group: that of its slowest rank. */
+export const slowestTime = (state: PlacementState): number => Math.max(...state.times);
 
-/** Time of a step if the work were spread so that all ranks, at their speeds, end together. */
-export const evenTime = ({ speeds }: LoadView): number =>
+/** Step time if the work were distributed so that all ranks, at their speeds, finish together. */
+export const evenTime = ({ speeds }: GroupLoad): number =>
   speeds.length / speeds.reduce((sum, speed) => sum + speed, 0);
--- a/packages/experts/src/plan/plan-map.ts
+++ b/packages/experts/src/plan/plan-map.ts
@@ -1,75 +1,76 @@
 import { movesBetween } from '../expert-map.js';
 import type { ExpertMove } from '../expert-map.js';
 import type { ExpertPlacement, GroupLayout } from '../types.js';
-import type { LoadView } from './placement-state.js';
-import { createPlacementState, evenTime, slowest } from './placement-state.js';
+import type { GroupLoad } from './placement-state.js';
+import { createPlacementState, evenTime, slowestTime } from './placement-state.js';
 import { applyEdit, bestRelief } from './relief.js';
 import type { Edit } from './relief.js';
 
-/** How far a plan goes. */
+/** Limits of a plan. */
 export interface PlanLimits {
-  /** Most experts loaded by one change. */
+  /** Largest number of experts that one change loads. */
   maxMoves: number;
-  /** Imbalance that is good enough; 1 is even. */
+  /** Imbalance at which planning stops; 1 is even. */
   evenEnough: number;
-  /** What an expert loaded must save, as a share of the step time. */
+  /** Fraction of the step time that each loaded expert must save. */
   gainPerMove: number;
 }
 
-/** A map that is better than the current one, by the predicted times of the ranks. */
+/** Result of planning: a map with a shorter predicted step time, or the current one. */
 export interface MapPlan {
   layers: ExpertPlacement[][];
   moves: ExpertMove[];
-  /** Step time over that of an evenly loaded group, before and after. */
+  /** Imbalance before and after: the step time relative to that of an evenly loaded group. */
   before: number;
   after: number;
 }
 
-/** Least loaded ranks that are looked at as receivers. */
-const RECEIVERS = 8;
-/** Slowest ranks that are tried before the search ends. */
-const TRIED_RANKS = 4;
+/** Number of least loaded ranks that are considered as receivers. */
+const MAX_RECEIVERS = 8;
+/** Number of slowest ranks that are tried before the search ends. */
+const MAX_TRIED_RANKS = 4;
 
 const byTime = (times: Float64Array): number[] =>
   [...times.keys()].sort((a, b) => (times[b] ?? 0) - (times[a] ?? 0));
 
-/** A prefix of the edits found. */
-interface Mark {
+/** Number of edits from the start of the plan, with their loads and the resulting imbalance. */
+interface PlanPrefix {
   edits: number;
   loads: number;
   imbalance: number;
 }
 
 /**
- * Improves a map edit by edit, always relieving the slowest rank, and keeps the prefix of edits
- * whose gain outweighs its loads most. Starting from the current map keeps the change small; a
- * packing from scratch is as even and moves nearly everything (docs/decisions/balancing.md).
- * `pause` runs between two edits, so that a large group's plan does not hold up the event loop.
+ * Improves a map edit by edit, relieving the slowest rank each time, and keeps the prefix of edits
+ * whose gain exceeds the cost of its loads by the most. Starting from the current map keeps the
+ * change small; a new packing is as even but moves nearly all experts
+ * (docs/decisions/balancing.md). `pause` runs between edits, so that planning for a large group
+ * doesn't block the event loop.
  */
 export const planMap = async (
   current: ExpertPlacement[][],
   layout: GroupLayout,
-  load: LoadView,
+  load: GroupLoad,
   limits: PlanLimits,
   pause: () => Promise<void>,
 ): Promise<MapPlan> => {
   const state = createPlacementState(current, layout, load);
-  const even = evenTime(load);
-  const before = slowest(state) / even;
-  const worth = (mark: Mark): number =>
-    (before - mark.imbalance) / before - mark.loads * limits.gainPerMove;
+  const evenStepTime = evenTime(load);
+  const before = slowestTime(state) / evenStepTime;
+  const netGain = (prefix: PlanPrefix): number =>
+    (before - prefix.imbalance) / before - prefix.loads * limits.gainPerMove;
   const edits: Edit[] = [];
-  let best: Mark = { edits: 0, loads: 0, imbalance: before };
+  let best: PlanPrefix = { edits: 0, loads: 0, imbalance: before };
 
-  const relieveOne = (): number | undefined => {
-    const order = byTime(state.times);
-    const coolest = order.slice(-RECEIVERS);
-    for (const hot of order.slice(0, TRIED_RANKS)) {
+  const relieveSlowest = (): number | undefined => {
+    const slowestFirst = byTime(state.times);
+    const receivers = slowestFirst.slice(-MAX_RECEIVERS);
+    for (const slowRank of slowestFirst.slice(0, MAX_TRIED_RANKS)) {
       const edit = bestRelief(
         state,
         layout,
-        hot,
-        coolest.filter((rank) => rank !== hot),
+        slowRank,
+        receivers.filter((rank) => rank !== slowRank),
       );
       if (edit) {
         applyEdit(state, edit);
@@ -81,13 +82,17 @@
   };
 
   let loads = 0;
-  while (loads < limits.maxMoves && slowest(state) / even > limits.evenEnough) {
-    const added = relieveOne();
-    if (added === undefined) break;
-    loads += added;
+  while (loads < limits.maxMoves && slowestTime(state) / evenStepTime > limits.evenEnough) {
+    const addedLoads = relieveSlowest();
+    if (addedLoads === undefined) break;
+    loads += addedLoads;
     await pause();
-    const mark: Mark = { edits: edits.length, loads, imbalance: slowest(state) / even };
-    if (worth(mark) > worth(best)) best = mark;
+    const prefix: PlanPrefix = {
+      edits: edits.length,
+      loads,
+      imbalance: slowestTime(state) / evenStepTime,
+    };
+    if (netGain(prefix) > netGain(best)) best = prefix;
   }
 
   const result = createPlacementState(current, layout, load);
--- a/packages/experts/src/plan/rank-speeds.ts
+++ b/packages/experts/src/plan/rank-speeds.ts
@@ -1,50 +1,52 @@
-/** A straggler's speed, at least; usual ranks have 1. */
-const SLOW = 0.85;
-/** Halfway between both: a report below speaks for a straggler, one above against. */
-const MIDDLE = (1 + SLOW) / 2;
+/** Relative speed that the test assumes for a straggler; normal ranks have 1. */
+const STRAGGLER_SPEED = 0.85;
+/** Midpoint of both: a report below is evidence for a straggler, one above is evidence against. */
+const THRESHOLD_SPEED = (1 + STRAGGLER_SPEED) / 2;
 /**
- * Largest speed that is called slow. Noise is not all that sets a rank apart: the line of time over
- * work may be off by some per cent for good, and would pass every test of noise in the end.
+ * Largest measured speed of a straggler. The fitted line of time over work may be off by a few per
+ * cent permanently, which isn't noise and would accumulate as evidence for a straggler.
  */
-const CALLED_SLOW = 0.88;
-/** Smallest speed in a report from which the line is learnt. */
-const LEARNT_FROM = 0.7;
-/** Log-likelihood ratio at which a verdict changes: one wrong verdict in some 100 000 reports. */
-const EVIDENCE = 11.5;
-/** Most that one report adds, so that a verdict takes three however clear they are. */
-const MOST_BY_ONE = EVIDENCE / 2.5;
-/** Reports that a straggler's speed is averaged over. */
-const AVERAGED = 5;
-/** A straggler's speed is taken anew when it has moved by more than this share. */
-const SPEED_STEP = 0.1;
-/** Smallest noise that is assumed, as a deviation relative to the value. */
-const LEAST_NOISE = 0.03;
-/** Slope that is assumed before the first reports, and how much it counts. */
+const MAX_STRAGGLER_SPEED = 0.88;
+/** Smallest measured speed of a report that the line is fitted to. */
+const MIN_FITTED_SPEED = 0.7;
+/** Log-likelihood ratio at which a verdict changes: about one wrong verdict in 100 000 reports. */
+const EVIDENCE_THRESHOLD = 11.5;
+/** Largest evidence from one report, so that a verdict takes at least three. */
+const MAX_EVIDENCE_PER_REPORT = EVIDENCE_THRESHOLD / 2.5;
+/** Number of reports over which a straggler's speed is averaged. */
+const AVERAGED_REPORTS = 5;
+/** Relative change above which a straggler's speed is updated. */
+const MIN_SPEED_CHANGE = 0.1;
+/** Smallest assumed noise, as a relative standard deviation. */
+const MIN_NOISE = 0.03;
+/** Slope assumed before the first reports, and its weight in the fit. */
 const PRIOR_SLOPE = 0.6;
 const PRIOR_WEIGHT = 0.02;
-/** Most that all earlier rounds together count. */
-const MOST_WEIGHT = 1;
-/** Noise that is assumed before the first reports. */
-const FIRST_NOISE = 0.1;
-/** Standard deviation over median absolute deviation, of normal noise. */
-const DEVIATION_OF_MEDIAN = 1.4826;
-/** Weight of the noise that was known before, against this round's. */
-const NOISE_KEPT = 0.8;
+/** Largest weight of all earlier rounds together. */
+const MAX_WEIGHT = 1;
+/** Noise assumed before the first reports, as a relative standard deviation. */
+const INITIAL_NOISE = 0.1;
+/** Ratio of standard deviation to median absolute deviation (MAD) of a normal distribution. */
+const DEVIATION_PER_MAD = 1.4826;
+/** Weight of the earlier noise in its moving average. */
+const NOISE_SMOOTHING = 0.8;
 
-/** Speeds of ranks, told from the times that they report. */
+/** Relative speeds of ranks, estimated from the step times that they report. */
 export interface RankSpeeds {
-  /** One round: each rank's predicted share of work (1 is even) and its measured time. */
+  /**
+   * Records a round: each rank's predicted work, where 1 is an even share, and its measured time.
+   */
   record(work: readonly number[], timesUs: readonly (number | undefined)[]): void;
-  /** Speeds to plan with: 1 for all but stragglers. */
+  /** Speeds for planning: 1 for all ranks but stragglers. */
   speeds(): number[];
-  /** Share of a usual rank's time that does not depend on its tokens. */
+  /** Fraction of a normal rank's step time that doesn't depend on its tokens. */
   fixedShare(): number;
   stragglers(): { rank: number; speed: number }[];
 }
 
 interface RankVerdict {
   recent: number[];
-  /** Evidence for a change of the verdict; never below 0 (cumulative sum test, Page 1954). */
+  /** Evidence for a change of the verdict, at least 0 (cumulative sum test, Page 1954). */
   evidence: number;
   speed: number;
 }
@@ -54,20 +56,22 @@
   return sorted[Math.floor(sorted.length / 2)] ?? 0;
 };
 
-/** How a usual rank's time follows its work, learnt over many rounds. */
+/** Creates a linear fit of the time of normal ranks over their work, across many rounds. */
 const createSlope = () => {
   let sxx = PRIOR_WEIGHT;
   let sxy = PRIOR_WEIGHT * PRIOR_SLOPE;
   return {
-    /** Time that grows by this much when work goes from none to an even share. */
+    /** Increase in time from no work to an even share, relative to the time of an even share. */
     value: (): number => Math.min(1, Math.max(0, sxy / sxx)),
-    /** A balanced group's ranks all have the same work and tell nothing, so old rounds count on. */
-    learn: (points: readonly (readonly [number, number])[]): void => {
+    /**
+     * Earlier rounds keep their weight: equally loaded ranks contain no information on the slope.
+     */
+    fit: (points: readonly (readonly [number, number])[]): void => {
       const meanX = points.reduce((sum, [x]) => sum + x, 0) / Math.max(1, points.length);
       const meanY = points.reduce((sum, [, y]) => sum + y, 0) / Math.max(1, points.length);
-      const kept = Math.min(1, MOST_WEIGHT / sxx);
-      sxx *= kept;
-      sxy *= kept;
+      const decay = Math.min(1, MAX_WEIGHT / sxx);
+      sxx *= decay;
+      sxy *= decay;
       points.forEach(([x, y]) => {
         sxx += (x - meanX) ** 2;
         sxy += (x - meanX) * (y - meanY);
@@ -76,7 +80,7 @@
   };
 };
 
-/** Creates the speeds of a group, all usual at first. */
+/** Creates the speeds of a group, initially all 1. */
 export const createRankSpeeds = (rankCount: number): RankSpeeds => {
   const verdicts = Array.from({ length: rankCount }, (): RankVerdict => ({
     recent: [],
@@ -84,49 +88,53 @@
     speed: 1,
   }));
   const slope = createSlope();
-  let noise = FIRST_NOISE;
+  let noise = INITIAL_NOISE;
 
-  // The noisier the reports are, the less each of them counts, so noise delays a verdict instead
-  // of causing one that moves experts for nothing and is taken back.
-  const judge = (verdict: RankVerdict, speed: number): RankVerdict => {
+  // The evidence of a report decreases with the noise. Noise thus delays a verdict instead of
+  // causing a wrong one, which would move experts for nothing and be reversed.
+  const updateVerdict = (verdict: RankVerdict, speed: number): RankVerdict => {
     const isStraggler = verdict.speed < 1;
-    const recent = [...verdict.recent, speed].slice(-AVERAGED);
-    const towardsSlow = ((1 - SLOW) * (MIDDLE - speed)) / noise ** 2;
-    const added = Math.min(MOST_BY_ONE, isStraggler ? -towardsSlow : towardsSlow);
-    const evidence = Math.min(EVIDENCE, Math.max(0, verdict.evidence + added));
+    const recent = [...verdict.recent, speed].slice(-AVERAGED_REPORTS);
+    const evidenceForSlow = ((1 - STRAGGLER_SPEED) * (THRESHOLD_SPEED - speed)) / noise ** 2;
+    const addedEvidence = Math.min(
+      MAX_EVIDENCE_PER_REPORT,
+      isStraggler ? -evidenceForSlow : evidenceForSlow,
+    );
+    const evidence = Math.min(EVIDENCE_THRESHOLD, Math.max(0, verdict.evidence + addedEvidence));
     const mean = recent.reduce((sum, x) => sum + x, 0) / recent.length;
-    const isClear = isStraggler || median(recent) <= CALLED_SLOW;
-    if (evidence >= EVIDENCE && isClear) {
+    const isClear = isStraggler || median(recent) <= MAX_STRAGGLER_SPEED;
+    if (evidence >= EVIDENCE_THRESHOLD && isClear) {
       return { recent, evidence: 0, speed: isStraggler ? 1 : median(recent) };
     }
-    const moved = Math.abs(mean - verdict.speed) / verdict.speed;
-    const isMoved = moved > Math.max(SPEED_STEP, (3 * noise) / Math.sqrt(AVERAGED));
-    if (!isStraggler || !isMoved) return { recent, evidence, speed: verdict.speed };
-    return { recent, evidence, speed: Math.min(mean, MIDDLE) };
+    const change = Math.abs(mean - verdict.speed) / verdict.speed;
+    const hasChanged =
+      change > Math.max(MIN_SPEED_CHANGE, (3 * noise) / Math.sqrt(AVERAGED_REPORTS));
+    if (!isStraggler || !hasChanged) return { recent, evidence, speed: verdict.speed };
+    return { recent, evidence, speed: Math.min(mean, THRESHOLD_SPEED) };
   };
 
   const record: RankSpeeds['record'] = (work, timesUs) => {
-    const usualTime = (rank: number): number => 1 + slope.value() * ((work[rank] ?? 1) - 1);
+    const expectedTime = (rank: number): number => 1 + slope.value() * ((work[rank] ?? 1) - 1);
     const ratios = work.map((_, rank) => {
       const time = timesUs[rank];
-      return time === undefined || time <= 0 ? undefined : time / usualTime(rank);
+      return time === undefined || time <= 0 ? undefined : time / expectedTime(rank);
     });
     const scale = median(ratios.filter((ratio) => ratio !== undefined));
     if (scale <= 0) return;
     const measured = ratios.map((ratio) => (ratio === undefined ? undefined : scale / ratio));
-    const usual = work.flatMap((x, rank): [number, number][] => {
-      const isUsual = verdicts[rank]?.speed === 1 && (measured[rank] ?? 0) > LEARNT_FROM;
-      return isUsual ? [[x, (timesUs[rank] ?? 0) / scale]] : [];
+    const points = work.flatMap((x, rank): [number, number][] => {
+      const isFitted = verdicts[rank]?.speed === 1 && (measured[rank] ?? 0) > MIN_FITTED_SPEED;
+      return isFitted ? [[x, (timesUs[rank] ?? 0) / scale]] : [];
     });
-    slope.learn(usual);
+    slope.fit(points);
     const deviations = measured.flatMap((x) => (x === undefined ? [] : [Math.abs(x - 1)]));
     noise = Math.max(
-      LEAST_NOISE,
-      NOISE_KEPT * noise + (1 - NOISE_KEPT) * DEVIATION_OF_MEDIAN * median(deviations),
+      MIN_NOISE,
+      NOISE_SMOOTHING * noise + (1 - NOISE_SMOOTHING) * DEVIATION_PER_MAD * median(deviations),
     );
     measured.forEach((speed, rank) => {
       const verdict = verdicts[rank];
-      if (speed !== undefined && verdict) verdicts[rank] = judge(verdict, speed);
+      if (speed !== undefined && verdict) verdicts[rank] = updateVerdict(verdict, speed);
     });
   };
 
--- a/packages/experts/src/plan/relief.ts
+++ b/packages/experts/src/plan/relief.ts
@@ -1,7 +1,7 @@
 import type { GroupLayout } from '../types.js';
 import type { PlacementState } from './placement-state.js';
 
-/** One edit of a map: replicas to drop and replicas to load. */
+/** An edit of one layer of a map: replicas to drop and replicas to load. */
 export interface Edit {
   layer: number;
   drop: readonly { expert: number; rank: number }[];
@@ -13,25 +13,25 @@
   score: number;
 }
 
-/** Cost of an edit that loads nothing, in loads; keeps the score finite. */
+/** Added to the number of loads, so that the score of an edit without loads is finite. */
 const FREE_EDIT_COST = 0.25;
 
-// The fourth power follows the slowest ranks and, unlike their maximum, also rewards an edit when
-// several ranks are equally slow.
+// The fourth power is dominated by the slowest ranks. Unlike their maximum, it also rewards an edit
+// when several ranks are equally slow.
 const weight = (time: number): number => time * time * time * time;
 
-/** Sums how an edit changes the weighted times, rank by rank, without carrying it out. */
+/** Computes how an edit changes the weighted times of the ranks, without applying it. */
 const createDelta = (state: PlacementState) => {
   const changes = new Map<number, number>();
-  const shift = (rank: number, by: number): void => {
+  const addTime = (rank: number, by: number): void => {
     changes.set(rank, (changes.get(rank) ?? 0) + by);
   };
   return {
-    /** The expert goes from its hosts to other ones. */
+    /** Replaces the hosts of an expert. */
     rehost: (layer: number, expert: number, hosts: readonly number[]): void => {
       const before = state.hosts(layer, expert);
-      before.forEach((rank) => shift(rank, -state.cost(layer, expert, rank, before.length)));
-      hosts.forEach((rank) => shift(rank, state.cost(layer, expert, rank, hosts.length)));
+      before.forEach((rank) => addTime(rank, -state.cost(layer, expert, rank, before.length)));
+      hosts.forEach((rank) => addTime(rank, state.cost(layer, expert, rank, hosts.length)));
     },
     gain: (): number => {
       let gain = 0;
@@ -64,41 +64,47 @@
   return delta.gain() / (edit.load.length + FREE_EDIT_COST);
 };
 
-/** Edits that take expert `x` off rank `hot`, or share it, with rank `cool`. */
+/** Edits that move an expert from `slowRank` to `receiver`, or add a replica there. */
 const editsBetween = (
   state: PlacementState,
   layout: GroupLayout,
   layer: number,
-  x: number,
-  hot: number,
-  cool: number,
+  expert: number,
+  slowRank: number,
+  receiver: number,
 ): Edit[] => {
-  const there = state.held(cool, layer);
-  if (there.includes(x)) return [];
-  const take = { expert: x, rank: cool };
-  const give = { expert: x, rank: hot };
-  if (there.length < layout.slots) {
+  const receiverExperts = state.held(receiver, layer);
+  if (receiverExperts.includes(expert)) return [];
+  const added = { expert, rank: receiver };
+  const removed = { expert, rank: slowRank };
+  if (receiverExperts.length < layout.slots) {
     return [
-      { layer, drop: [give], load: [take] },
-      { layer, drop: [], load: [take] },
+      { layer, drop: [removed], load: [added] },
+      { layer, drop: [], load: [added] },
     ];
   }
-  const here = state.held(hot, layer);
-  return there.flatMap((y) => {
-    const freed = { expert: y, rank: cool };
-    const share = { layer, drop: [freed], load: [take] };
-    if (here.includes(y)) return [share];
-    const swap = { layer, drop: [give, freed], load: [take, { expert: y, rank: hot }] };
+  const slowRankExperts = state.held(slowRank, layer);
+  return receiverExperts.flatMap((other) => {
+    const displaced = { expert: other, rank: receiver };
+    const share = { layer, drop: [displaced], load: [added] };
+    if (slowRankExperts.includes(other)) return [share];
+    const swap = {
+      layer,
+      drop: [removed, displaced],
+      load: [added, { expert: other, rank: slowRank }],
+    };
     return [share, swap];
   });
 };
 
-/** The edit that relieves a rank most for each expert loaded; undefined when none helps. */
+/**
+ * Returns the edit with the largest gain per loaded expert for a rank; undefined when none helps.
+ */
 export const bestRelief = (
   state: PlacementState,
   layout: GroupLayout,
-  hot: number,
-  coolest: readonly number[],
+  slowRank: number,
+  receivers: readonly number[],
 ): Edit | undefined => {
   let best: Candidate | undefined;
   const consider = (edit: Edit): void => {
@@ -106,19 +112,19 @@
     if (value > (best?.score ?? 1e-9)) best = { edit, score: value };
   };
   for (let layer = 0; layer < layout.layers; layer += 1) {
-    for (const x of state.held(hot, layer)) {
-      consider({ layer, drop: [{ expert: x, rank: hot }], load: [] });
-      for (const cool of coolest) {
-        editsBetween(state, layout, layer, x, hot, cool).forEach(consider);
+    for (const expert of state.held(slowRank, layer)) {
+      consider({ layer, drop: [{ expert, rank: slowRank }], load: [] });
+      for (const receiver of receivers) {
+        editsBetween(state, layout, layer, expert, slowRank, receiver).forEach(consider);
       }
     }
   }
   return best?.edit;
 };
 
-/** Carries an edit out. */
+/** Applies an edit to the placement state. */
 export const applyEdit = (state: PlacementState, { layer, drop, load }: Edit): void => {
-  // Loads first: an expert is never without a host, not even between two lines.
+  // Replicas are added first, so that no expert is ever without a host.
   load.forEach(({ expert, rank }) => state.add(layer, expert, rank));
   drop.forEach(({ expert, rank }) => state.remove(layer, expert, rank));
 };
--- a/packages/experts/src/tokens.ts
+++ b/packages/experts/src/tokens.ts
@@ -1,4 +1,4 @@
-/** Adds up the tokens of an engine's ranks, and lists those that are not zero. */
+/** Sums the tokens of an engine's ranks by expert and lists the sums that are not zero. */
 export const sparseTokens = (
   byRank: readonly (readonly (readonly number[])[])[],
 ): { at: number[]; tokens: number[] } => {
--- a/packages/experts/src/types.ts
+++ b/packages/experts/src/types.ts
@@ -1,44 +1,46 @@
 import type { Clock, Logger, Metrics, Random } from '@plantaindrum/common';
 import type { Log } from '@plantaindrum/service-clients';
 
-/** Where one expert of a layer has replicas. */
+/** Ranks that hold a replica of one expert in a layer. */
 export interface ExpertPlacement {
   expert: number;
   ranks: number[];
 }
 
-/** An expert map as the engines take it; one list of placements for each layer. */
+/** An expert map in the format of the engines, with one list of placements per layer. */
 export interface ExpertMapDocument {
   version: number;
   layers: ExpertPlacement[][];
 }
 
-/** The fixed shape of a group. */
+/** Fixed dimensions of a group. */
 export interface GroupLayout {
-  /** Ranks in the whole group. */
+  /** Number of ranks in the group. */
   rankCount: number;
   layers: number;
-  /** Experts in each layer. */
+  /** Number of experts in each layer. */
   experts: number;
-  /** Replicas that one rank's memory holds in each layer. */
+  /** Capacity of one rank in each layer, in replicas. */
   slots: number;
-  /** Size of one expert's weights in one layer. */
+  /** Size of one expert's weights in one layer, in bytes. */
   bytesPerExpert: number;
 }
 
-/** One rank as its engine reports it (`GET /group`). */
+/** State of one rank in an engine's answer to `GET /group`. */
 export interface RankState {
   rank: number;
   step: number;
   /** The map in use; null before the group is formed. */
   version: number | null;
   prepared: number[];
-  /** Stays until the step has come, also when the switch is decided. */
+  /** The armed map; it stays set until `at_step`, even after the switch is decided. */
   armed: { version: number; at_step: number; decided?: boolean } | null;
   holding: boolean;
-  /** The rank's own work in its last step, without waiting for the others. */
+  /**
+   * Time of the rank's own work in its last step in microseconds, without waiting for other ranks.
+   */
   step_time_us: number;
-  /** Tokens by layer and expert since the group was formed. */
+  /** Tokens computed since the group was formed, by layer and expert. */
   tokens_by_expert: number[][];
 }
 
@@ -46,39 +48,40 @@
 export interface EngineState {
   group: string | null;
   fence: number;
-  /** Highest version that this engine will never arm. */
+  /** Versions up to this one can't be armed any more. */
   refused_to: number;
   ranks: RankState[];
 }
 
-/** Orders that an engine takes for expert maps. */
+/** Orders to an engine that concern expert maps. */
 export type OrderName =
   'form_group' | 'prepare_map' | 'arm_map' | 'switch_map' | 'abort_map' | 'refuse_map';
 
-/** What became of an order; `lost` means that it may or may not take effect, now or later. */
+/** Outcome of an order; `lost` means that it may still take effect, or may not. */
 export type OrderOutcome =
   { outcome: 'done' } | { outcome: 'refused'; reason: string } | { outcome: 'lost' };
 
-/** The engine beside this agent. */
+/** Access to the engine of this agent. */
 export interface EnginePort {
+  /** Sends an order; the promise never rejects. */
   order(name: OrderName, body: Readonly<Record<string, unknown>>): Promise<OrderOutcome>;
-  /** Undefined when the engine can't be reached. */
+  /** Current state of the engine; undefined when it can't be reached. */
   state(): Promise<EngineState | undefined>;
 }
 
-/** An agent of the group as the VM list shows it. */
+/** An agent of the group in the VM list. */
 export interface GroupPeer {
   node: string;
   ranks: readonly number[];
 }
 
-/** Outcome of a link call; the same shape as the link's own. */
+/** Outcome of a link call, of the same shape as in the link package. */
 export type PeerOutcome =
   | { outcome: 'answered'; value: unknown }
   | { outcome: 'failed'; value: unknown }
   | { outcome: 'lost' };
 
-/** Calls a method of another agent of the group; never rejects. */
+/** Calls a method of another agent of the group; the promise never rejects. */
 export type PeerCall = (
   node: string,
   method: ExpertMethod,
@@ -113,29 +116,29 @@
   'experts.outcome',
 ];
 
-/** Durations in milliseconds. */
+/** Intervals and timeouts of a group, in milliseconds. */
 export interface GroupTimings {
-  /** Between heartbeats of the coordinator. */
+  /** Interval between heartbeats of the coordinator. */
   heartbeatMs: number;
-  /** Silence after which an agent tries to take over; up to as much again is added at random. */
+  /** Time without heartbeats before a takeover; up to the same time again is added at random. */
   takeoverMs: number;
-  /** An armed rank that has not heard the end asks the others after this, with jitter. */
+  /** Delay before an agent queries the others about an in-doubt change; jitter is added. */
   askAfterMs: number;
-  /** Timeout of a link call, except for `prepare`. */
+  /** Timeout of a link call other than `prepare`. */
   callMs: number;
-  /** Timeout of one prepare call; a further call goes on where it stopped. */
+  /** Timeout of one prepare call; the next call continues where it stopped. */
   prepareCallMs: number;
-  /** A change that isn't prepared by then is given up. */
+  /** Timeout of the prepare phase, after which the change is aborted. */
   prepareMs: number;
-  /** Between two looks at the engine, for an armed map that this process knows nothing of. */
+  /** Interval between checks of the engine for an armed map that this process doesn't know. */
   watchMs: number;
-  /** Between two plans. */
+  /** Interval between plans. */
   planMs: number;
-  /** Engines of one group that load weights at the same time. */
+  /** Largest number of engines of a group that load weights at the same time. */
   loaders: number;
 }
 
-/** Defaults for a group whose steps take about five milliseconds. */
+/** Default timings, for a group with a step time of about five milliseconds. */
 export const defaultTimings: GroupTimings = {
   heartbeatMs: 1_000,
   takeoverMs: 4_000,
@@ -148,17 +151,17 @@
   loaders: 2,
 };
 
-/** What the operator declared to matter more. */
+/** What weighs more for the operator: an even load (`skew`) or few moves (`rebalancing-cost`). */
 export type Weighs = 'skew' | 'rebalancing-cost';
 
-/** What a group member and a coordinator share. */
+/** Options that a group member and a coordinator have in common. */
 export interface GroupContext {
   group: string;
-  /** This node's name in the VM list. */
+  /** Name of this node in the VM list. */
   node: string;
-  /** Random for each start of the process. */
+  /** Random id of this process. */
   instance: string;
-  /** The group's agents as listed, this one included; the list may lag. */
+  /** All agents of the group in the VM list, which may lag, including this one. */
   members: () => readonly GroupPeer[];
   call: PeerCall;
   log: Log;
@@ -171,61 +174,63 @@
 
 /** Options of `createGroupMember`. */
 export interface GroupMemberOptions extends GroupContext {
-  /** Ranks in the whole group, from settings: a lagging list must not pass for a small group. */
+  /**
+   * Number of ranks in the group, from settings: a lagging list must not look like a smaller group.
+   */
   rankCount: number;
-  /** The ranks that the engine beside this agent serves. */
+  /** Ranks of this agent's engine. */
   ranks: readonly number[];
   engine: EnginePort;
 }
 
-/** What `status` shows of a member. */
+/** State of a group member, for `status`. */
 export interface GroupMemberStatus {
   group: string;
-  /** Smallest fencing number that is obeyed; undefined while it isn't known after a start. */
+  /** Smallest fencing token that is accepted; undefined until it is recovered after a start. */
   fence: number | undefined;
-  /** Versions of maps that are armed and not decided. */
+  /** Versions of maps that are armed and undecided. */
   undecided: number[];
 }
 
-/** The part of an agent that obeys the group's coordinator and settles armed maps. */
+/** The part of an agent that executes the coordinator's orders and resolves in-doubt changes. */
 export interface GroupMember {
-  /** Serves a link call; refusals are values, it never rejects. */
+  /** Serves a link call. Refusals are values; the promise never rejects. */
   serve(method: ExpertMethod, args: unknown): Promise<unknown>;
-  /** Recovers the fencing number and settles what an earlier process left; runs until `close`. */
+  /** Recovers the fencing token and resolves in-doubt changes; runs until `close`. */
   run(): Promise<void>;
   close(): void;
-  /** When the last heartbeat of a coordinator that is obeyed came (monotonic, ms). */
-  lastHeartbeat(): number;
+  /** Monotonic time of the last heartbeat with an accepted fencing token, in milliseconds. */
+  lastHeartbeatAt(): number;
   status(): GroupMemberStatus;
 }
 
 /** Options of `createCoordinator`. */
 export interface CoordinatorOptions extends GroupContext {
-  /** The member in this same process; calls to this node go to it directly. */
+  /** The member in this process; calls to this node go directly to it. */
   member: GroupMember;
   layout: GroupLayout;
-  /** The operator's word, read at each plan. */
+  /** What the operator set to weigh more; read for each plan. */
   weighs: () => Weighs;
-  /** False while live traffic needs the VM; moves wait. */
+  /** False while live traffic needs the VM, which delays moves of experts. */
   mayMove: () => boolean;
 }
 
-/** What a coordinator is doing; every agent of a group runs one. */
+/** Role of an agent's coordinator task; every agent of a group runs one. */
 export type CoordinatorRole = 'standby' | 'claiming' | 'acting';
 
-/** What `status` shows of a coordinator. */
+/** State of a coordinator, for `status`. */
 export interface CoordinatorStatus {
   role: CoordinatorRole;
   fence: number | undefined;
-  /** Version of the map that this coordinator last saw in use on all ranks. */
+  /** Version of the map that this coordinator last saw in use at all ranks. */
   version: number | undefined;
-  /** Ranks that are slower than the rest, with their speed relative to the median. */
+  /** Slow ranks, with their speed relative to the median. */
   stragglers: { rank: number; speed: number }[];
-  /** Predicted slowest over mean rank load, for the map in use; 1 is even. */
+  /** Predicted step time with the map in use, relative to that of an even load. */
   imbalance: number | undefined;
 }
 
-/** A group's coordinator task; it acts only while it holds the claim. */
+/** Coordinator task of a group; it acts only while it holds the claim. */
 export interface Coordinator {
   /** Runs until `close`. */
   run(): Promise<void>;
--- a/packages/experts/test/change-crashes.test.ts
+++ b/packages/experts/test/change-crashes.test.ts
@@ -5,18 +5,18 @@
 
 const coordinatorOf = (group: FakeGroup): number => group.acting()[0] ?? 0;
 
-const anotherThan = (group: FakeGroup, rank: number): number => (rank + 1) % group.names.length;
+const otherRank = (group: FakeGroup, rank: number): number => (rank + 1) % group.names.length;
 
-/** Runs `fault` at every message of a change, one run for each. */
+/** Runs one change for each of its messages, with `fault` injected at that message. */
 const atEachMessage = async (fault: (group: FakeGroup) => void): Promise<FakeGroup[]> => {
   const messages = await countMessages();
   const groups: FakeGroup[] = [];
   for (let at = 0; at < messages; at += 1) {
-    const act = (group: FakeGroup): undefined => {
+    const injectFault = (group: FakeGroup): undefined => {
       fault(group);
       return undefined;
     };
-    const { group } = await runChangeWithFault(act, at);
+    const { group } = await runChangeWithFault(injectFault, at);
     groups.push(group);
   }
   return groups;
@@ -27,33 +27,31 @@
   group.clock.after(ms, () => group.startAgent(rank));
 };
 
-// Callers of a group wait, or get mixed output, when the process that was changing its map dies,
-// or an agent comes back without memory, at any point. The engines keep the votes, the others ask
-// for them, and the log names the next coordinator; so at no point may it matter who has died.
-describe('a change of map with one bad process', () => {
-  it('outlives its coordinator, killed for good at each message', async () => {
+// A coordinator or an agent exits, restarts with empty memory or is suspended at any message of a
+// map change. The group could then stand still, or step with different maps. The engines keep the
+// votes, the other agents query them, and the log determines the next coordinator.
+describe('a map change with one faulty process', () => {
+  it('completes when its coordinator is killed at any message', async () => {
     await atEachMessage((group) => restartAfter(group, coordinatorOf(group), 1_500));
   });
 
-  it('outlives its coordinator, restarted at once at each message', async () => {
+  it('completes when its coordinator restarts at once at any message', async () => {
     await atEachMessage((group) => restartAfter(group, coordinatorOf(group), 2));
   });
 
-  it('outlives an agent restarted with nothing in memory', async () => {
-    await atEachMessage((group) =>
-      restartAfter(group, anotherThan(group, coordinatorOf(group)), 2),
-    );
+  it('completes when an agent restarts with empty memory at any message', async () => {
+    await atEachMessage((group) => restartAfter(group, otherRank(group, coordinatorOf(group)), 2));
   });
 
-  it('outlives an agent frozen over the switch and woken', async () => {
+  it('completes when an agent is frozen during the switch and woken', async () => {
     await atEachMessage((group) => {
-      const { process } = group.agent(anotherThan(group, coordinatorOf(group)));
+      const { process } = group.agent(otherRank(group, coordinatorOf(group)));
       process.freeze();
       group.clock.after(1_000, process.wake);
     });
   });
 
-  it('outlives its coordinator frozen past its successor and woken', async () => {
+  it('completes when its coordinator is frozen until after the takeover and woken', async () => {
     await atEachMessage((group) => {
       const { process } = group.agent(coordinatorOf(group));
       process.freeze();
@@ -61,16 +59,16 @@
     });
   });
 
-  it('outlives the loss of a rank, which comes back blank under a new number', async () => {
+  it('forms the group with a new fencing token when a rank is lost and comes back blank', async () => {
     const groups = await atEachMessage((group) => {
-      const rank = anotherThan(group, coordinatorOf(group));
+      const rank = otherRank(group, coordinatorOf(group));
       group.engines[rank]?.replace();
       restartAfter(group, rank, 50);
     });
     groups.forEach((group) => expect(group.fakeLog.records.length).to.be.greaterThan(1));
   });
 
-  it('outlives the loss of the coordinator and its rank together', async () => {
+  it('recovers from the loss of the coordinator together with its rank', async () => {
     await atEachMessage((group) => {
       const rank = coordinatorOf(group);
       group.engines[rank]?.replace();
@@ -78,37 +76,37 @@
     });
   });
 
-  it('goes on while the log is down, from each message on', async () => {
+  it('completes when the log goes down at any message', async () => {
     await atEachMessage((group) => {
       Object.assign(group.fakeLog.faults, { isDown: true });
     });
   });
 
-  it('re-forms under the held number when a rank is lost while the log is down', async () => {
+  it('forms the group with the held fencing token when a rank is lost while the log is down', async () => {
     const groups = await atEachMessage((group) => {
       Object.assign(group.fakeLog.faults, { isDown: true });
-      const rank = anotherThan(group, coordinatorOf(group));
+      const rank = otherRank(group, coordinatorOf(group));
       group.engines[rank]?.replace();
       restartAfter(group, rank, 50);
     });
     await Promise.all(groups.map(expectOneMap));
   });
 
-  it('is settled by messages that grow with the group, not with its square', async () => {
+  it('is resolved with a number of queries linear in the size of the group', async () => {
     const ranks = 24;
-    let questions = 0;
+    let queries = 0;
     const group = createFakeGroup({ ranks });
-    group.network.setFates(({ kind, method }) => {
-      if (kind === 'request' && method === 'experts.outcome') questions += 1;
-      if (method !== 'experts.decide' || questions > 0) return undefined;
+    group.network.setDeliveries(({ kind, method }) => {
+      if (kind === 'request' && method === 'experts.outcome') queries += 1;
+      if (method !== 'experts.decide' || queries > 0) return undefined;
       group.agent(coordinatorOf(group)).process.kill();
       return [];
     });
-    await group.until(() => questions > 0);
+    await group.until(() => queries > 0);
     group.names.forEach((_, rank) => {
       if (!group.agent(rank).process.isAlive()) group.startAgent(rank);
     });
     await expectOneMap(group);
-    expect(questions).to.be.below(5 * ranks);
+    expect(queries).to.be.below(5 * ranks);
   });
 });
--- a/packages/experts/test/change-messages.test.ts
+++ b/packages/experts/test/change-messages.test.ts
@@ -3,10 +3,9 @@
 import { countMessages, expectOneMap, runChangeWithFault } from './fakes/faulty-change.js';
 import { createFakeGroup } from './fakes/fake-group.js';
 
-// Callers see tokens from a group whose ranks disagree about where an expert lives: garbage, with
-// no error anywhere. It would happen if one rank hears "switch" and another "abort", because a
-// message of the change was lost, late, doubled, or crossed another one on its way.
-describe('a change of map with one bad message', () => {
+// A message of a map change is lost, late, duplicated or reordered. If one rank then switched while
+// another aborted, the ranks would use different maps and compute wrong tokens without any error.
+describe('a map change with one faulty message', () => {
   const kinds: Record<string, FaultAt> = {
     lost: () => [],
     'late by some steps': () => [12],
@@ -19,7 +18,7 @@
   for (const [kind, fault] of Object.entries(kinds)) {
     it(`never mixes maps: each message ${kind}`, async () => {
       const messages = await countMessages();
-      // Four calls to each of the two other agents, and their answers.
+      // Requests and answers of four calls to each of the two other agents.
       expect(messages).to.equal(16);
       for (let at = 0; at < messages; at += 1) await runChangeWithFault(fault, at);
     });
--- a/packages/experts/test/fakes/fake-engines.ts
+++ b/packages/experts/test/fakes/fake-engines.ts
@@ -7,7 +7,7 @@
   decided: boolean;
 }
 
-/** An engine's memory; a replaced engine starts with a new one. */
+/** Memory of one engine; a replacement starts with a new one. */
 const createMemory = (layers: number, experts: number) => ({
   fence: 0,
   refusedTo: 0,
@@ -16,7 +16,7 @@
   prepared: new Map<number, ExpertMapDocument>(),
   armed: null as Armed | null,
   tokens: Array.from({ length: layers }, () => new Array<number>(experts).fill(0)),
-  /** Tokens of the last step. */
+  /** Number of tokens in the last step. */
   served: 0,
 });
 
@@ -95,44 +95,46 @@
   return structuredClone({ group, fence, refused_to: refusedTo, ranks: [state] });
 };
 
+/** One engine of a fake group, with one rank. */
 export interface FakeEngine {
   readonly rank: number;
-  /** A port to the engine as it is now; after `replace` it leads to an engine outside the group. */
+  /** Returns a port to the current engine; after `replace`, it leads to one outside the group. */
   connect(): EnginePort;
-  /** Another engine takes the rank over, with nothing in memory. */
+  /** Replaces the engine of the rank by a blank one. */
   replace(): void;
   version(): number | null;
   isArmed(): boolean;
   step(): number;
 }
 
-/** What the oracle saw. */
+/** Observations of all engines, to check the group's steps. */
 export interface Oracle {
   steps: number;
-  /** Steps in which two ranks used different maps; must stay empty. */
+  /** Steps in which ranks used different maps; must stay empty. */
   mixed: { step: number; versions: (number | undefined)[] }[];
-  /** Time that the formed group stood still for a hold, in milliseconds. */
+  /** Time that the formed group spent holding, in milliseconds. */
   heldMs: number;
   versions: Set<number>;
 }
 
+/** Options of `createFakeEngines`. */
 export interface FakeEnginesOptions {
   clock: Clock;
   ranks: number;
   layers: number;
   experts: number;
-  /** False: orders with old fences, and forming with old versions, are carried out. */
+  /** When false, orders with old fencing tokens and forming with old versions are accepted. */
   checksFence: boolean;
   stepMs: number;
-  /** Tokens of an expert in each step. */
+  /** Number of tokens of an expert in each step. */
   popularity: (layer: number, expert: number) => number;
-  /** Called with each order before it is carried out; `lost` answers may still take effect. */
+  /** Called before each order is executed; an order without an answer may still take effect. */
   onOrder?: (rank: number, name: string) => 'drop' | 'lose-answer' | 'twice' | undefined;
 }
 
 /**
- * Engines of one group that step together as soon as every rank is formed, whatever each was
- * formed with: laxer than real ones, so that nothing but the protocol keeps the maps equal.
+ * Creates the engines of one group, which step together as soon as every rank has any map. They
+ * check less than real engines, so that only the protocol keeps the maps equal.
  */
 export const createFakeEngines = (options: FakeEnginesOptions) => {
   const { clock, layers, experts } = options;
@@ -182,22 +184,24 @@
 
   const createEngine = (rank: number): FakeEngine => {
     const memory = (): Memory => memories[rank] ?? createMemory(layers, experts);
-    const carryOut = (own: Memory, name: string, body: Body): OrderOutcome => {
-      if (options.checksFence && body.fence < own.fence) return refused('old-fence');
-      Object.assign(own, { fence: Math.max(own.fence, body.fence) });
-      return apply(own, name, body, options.checksFence);
+    const executeOrder = (currentMemory: Memory, name: string, body: Body): OrderOutcome => {
+      if (options.checksFence && body.fence < currentMemory.fence) return refused('old-fence');
+      Object.assign(currentMemory, { fence: Math.max(currentMemory.fence, body.fence) });
+      return apply(currentMemory, name, body, options.checksFence);
     };
     const connect = (): EnginePort => {
-      const own = memory();
+      const currentMemory = memory();
       return {
         order: async (name, body) => {
           const fault = options.onOrder?.(rank, name);
           if (fault === 'drop') return { outcome: 'lost' };
-          const first = carryOut(own, name, body as unknown as Body);
+          const first = executeOrder(currentMemory, name, body as unknown as Body);
           if (fault === 'lose-answer') return { outcome: 'lost' };
-          return fault === 'twice' ? carryOut(own, name, body as unknown as Body) : first;
+          return fault === 'twice'
+            ? executeOrder(currentMemory, name, body as unknown as Body)
+            : first;
         },
-        state: async () => stateOf(own, rank, options.stepMs),
+        state: async () => stateOf(currentMemory, rank, options.stepMs),
       };
     };
     return {
--- a/packages/experts/test/fakes/fake-group.ts
+++ b/packages/experts/test/fakes/fake-group.ts
@@ -16,7 +16,7 @@
 import { createFakeProcess } from './fake-process.js';
 import type { FakeProcess } from './fake-process.js';
 
-/** Short times, so that a whole change fits into a second of the manual clock. */
+/** Short timings, so that a complete change takes less than a second of the manual clock. */
 const TIMINGS: Partial<GroupTimings> = {
   heartbeatMs: 40,
   takeoverMs: 200,
@@ -28,6 +28,7 @@
   planMs: 200,
 };
 
+/** Options of `createFakeGroup`. */
 export interface FakeGroupOptions {
   ranks?: number;
   checksFence?: boolean;
@@ -37,13 +38,14 @@
   mayMove?: () => boolean;
 }
 
+/** An agent of a fake group. */
 export interface FakeAgent {
   process: FakeProcess;
   member: GroupMember;
   coordinator: Coordinator;
 }
 
-/** A linear congruential generator: the same numbers in every run. */
+/** Creates a linear congruential generator, which gives the same numbers in every run. */
 export const createSeededRandom = (seed: number) => {
   let state = seed;
   return (): number => {
@@ -52,7 +54,10 @@
   };
 };
 
-/** A whole group in memory: an agent with member and coordinator beside each one-rank engine. */
+/**
+ * Creates a group in memory: one-rank engines, each with an agent that has a member and a
+ * coordinator.
+ */
 export const createFakeGroup = (options: FakeGroupOptions = {}) => {
   const rankCount = options.ranks ?? 3;
   const layout = { rankCount, layers: 2, experts: 6, slots: 4, bytesPerExpert: 1 };
@@ -76,13 +81,13 @@
   const agents: FakeAgent[] = [];
   let instances = 0;
 
-  const gatedLog = (process: FakeProcess): Log => ({
+  const createGatedLog = (process: FakeProcess): Log => ({
     append: (...args) => process.gate(logClient.append(...args)),
     read: (...args) => process.gate(logClient.read(...args)),
     offsets: (...args) => process.gate(logClient.offsets(...args)),
   });
 
-  /** Starts an agent with nothing in memory; the one before it on this VM must be dead. */
+  /** Starts an agent with empty memory; the earlier one on this VM must have exited. */
   const startAgent = (rank: number): void => {
     const engine = engines[rank];
     const node = names[rank];
@@ -97,7 +102,7 @@
       members: () => names.map((name, at) => ({ node: name, ranks: [at] })),
       call: (to: string, method: ExpertMethod, args: unknown, timeoutMs: number) =>
         process.gate(network.call(node, to, method, args, timeoutMs)),
-      log: gatedLog(process),
+      log: createGatedLog(process),
       clock: process.clock,
       random,
       metrics,
@@ -145,20 +150,20 @@
     agents,
     names,
     startAgent,
-    /** Another VM, blank and under another name, takes a rank over; the old one may still run. */
+    /** Replaces the VM of a rank by a blank one with another name; the old one may still run. */
     replaceVm: (rank: number): void => {
       engines[rank]?.replace();
       names[rank] = `${names[rank]}-new`;
       startAgent(rank);
     },
-    /** Ranks whose agents believe that they coordinate the group. */
+    /** Ranks whose agents act as coordinator. */
     acting,
     agent: (rank: number): FakeAgent => {
       const agent = agents[rank];
       if (!agent) throw new RangeError(`no rank ${rank}`);
       return agent;
     },
-    /** Advances until `holds`, or fails after `limitMs`. */
+    /** Advances the clock until `holds` returns true; throws after `limitMs`. */
     until: async (holds: () => boolean, limitMs = 20_000): Promise<void> => {
       const end = clock.monotonic() + limitMs;
       while (!holds()) {
@@ -169,5 +174,5 @@
   };
 };
 
-/** Everything of a fake group. */
+/** A group in memory. */
 export type FakeGroup = ReturnType<typeof createFakeGroup>;
--- a/packages/experts/test/fakes/fake-network.ts
+++ b/packages/experts/test/fakes/fake-network.ts
@@ -2,7 +2,7 @@
 import type { ExpertMethod, PeerOutcome } from '../../src/index.js';
 import type { FakeProcess } from './fake-process.js';
 
-/** One message on its way: the request of a call, or its answer. */
+/** One message in flight: the request of a call, or its answer. */
 export interface Message {
   kind: 'request' | 'answer';
   from: string;
@@ -10,9 +10,10 @@
   method: ExpertMethod;
 }
 
-/** Delays of the copies that arrive, in milliseconds; none for a lost message. */
-export type Fate = readonly number[];
+/** Delay of each copy that arrives, in milliseconds; empty for a lost message. */
+export type Delivery = readonly number[];
 
+/** A node of the network. */
 export interface FakeNode {
   process: FakeProcess;
   serve(method: ExpertMethod, args: unknown): Promise<unknown>;
@@ -22,10 +23,10 @@
 
 export const createFakeNetwork = (clock: Clock) => {
   const nodes = new Map<string, FakeNode>();
-  let fateOf: (message: Message) => Fate | undefined = () => undefined;
+  let deliveryOf: (message: Message) => Delivery | undefined = () => undefined;
 
   const deliver = (message: Message, fn: () => void): void => {
-    const delays = fateOf(message) ?? [DELAY_MS];
+    const delays = deliveryOf(message) ?? [DELAY_MS];
     delays.forEach((ms) => clock.after(ms, fn));
   };
 
@@ -54,9 +55,9 @@
   return {
     call,
     join: (name: string, node: FakeNode) => nodes.set(name, node),
-    /** Decides what becomes of each message from now on. */
-    setFates: (fates: (message: Message) => Fate | undefined) => {
-      fateOf = fates;
+    /** Sets how messages are delivered from now on; undefined for the normal delay. */
+    setDeliveries: (deliveries: (message: Message) => Delivery | undefined) => {
+      deliveryOf = deliveries;
     },
   };
 };
--- a/packages/experts/test/fakes/fake-process.ts
+++ b/packages/experts/test/fakes/fake-process.ts
@@ -1,11 +1,13 @@
 import type { Clock } from '@plantaindrum/common';
 
-/** One process that can be frozen, woken and killed; all that it waits for passes through it. */
+/**
+ * A process that can be frozen, woken and killed; everything that it awaits passes through `gate`.
+ */
 export interface FakeProcess {
   readonly clock: Clock;
-  /** Hands on a result only while the process runs; never after its death. */
+  /** Forwards a result only while the process runs; never after it was killed. */
   gate<T>(result: Promise<T>): Promise<T>;
-  /** Runs `fn` now, or when the process wakes, or never if it is dead. */
+  /** Runs `fn` now, or when the process is woken, or never if it was killed. */
   whenAwake(fn: () => void): void;
   freeze(): void;
   wake(): void;
--- a/packages/experts/test/fakes/faulty-change.ts
+++ b/packages/experts/test/fakes/faulty-change.ts
@@ -1,21 +1,24 @@
 import { expect } from 'chai';
 import { createFakeGroup } from './fake-group.js';
 import type { FakeGroup, FakeGroupOptions } from './fake-group.js';
-import type { Fate, Message } from './fake-network.js';
+import type { Delivery, Message } from './fake-network.js';
 
-/** Steps that a group makes on one map before its change counts as over. */
+/** Number of steps with one map after which a change counts as complete. */
 const SETTLED_STEPS = 30;
-/** Time after the last fault by which the group must step on one map again. */
+/** Time in which the group must step with one map again after the last fault, in milliseconds. */
 const SETTLE_LIMIT_MS = 8_000;
 
-/** What happens at one message of a change; the message's own fate, if it is not delivered as usual. */
-export type FaultAt = (group: FakeGroup, message: Message) => Fate | undefined;
+/** Injects a fault at one message of a change; returns its delivery, if it isn't the normal one. */
+export type FaultAt = (group: FakeGroup, message: Message) => Delivery | undefined;
 
 const isSettled = (group: FakeGroup): boolean =>
   new Set(group.engines.map((engine) => engine.version())).size === 1 &&
   group.engines.every((engine) => engine.version() !== null && !engine.isArmed());
 
-/** Waits until the group steps on one map again; fails on a mixed step or a standstill. */
+/**
+ * Waits until the group steps with one map again; fails if a step mixed maps or the group stands
+ * still.
+ */
 export const expectOneMap = async (group: FakeGroup): Promise<void> => {
   const { oracle } = group;
   await group.until(() => isSettled(group), SETTLE_LIMIT_MS);
@@ -25,8 +28,8 @@
 };
 
 /**
- * Runs a group into its first change of map, with a fault at the message of this number (counted
- * from the first `prepare` on), and lets it settle. Answers the group and its count of messages.
+ * Runs the first map change of a group with a fault at message number `at`, counted from the first
+ * `prepare`, and waits until the group has recovered. Returns the group and its number of messages.
  */
 export const runChangeWithFault = async (
   fault: FaultAt,
@@ -36,7 +39,7 @@
   const group = createFakeGroup(options);
   let messages = 0;
   let isOver = false;
-  group.network.setFates((message) => {
+  group.network.setDeliveries((message) => {
     const hasBegun = messages > 0 || message.method === 'experts.prepare';
     if (!hasBegun || isOver) return undefined;
     messages += 1;
@@ -54,6 +57,6 @@
   return { group, messages };
 };
 
-/** Number of messages of an undisturbed change. */
+/** Returns the number of messages of a change without faults. */
 export const countMessages = async (): Promise<number> =>
   (await runChangeWithFault(() => undefined, -1)).messages;
--- a/packages/experts/test/group-claims.test.ts
+++ b/packages/experts/test/group-claims.test.ts
@@ -21,11 +21,11 @@
   log.expire(beginning);
   const claims = createGroupClaims(client);
   await claims.catchUp();
-  return { fence: claims.holder('g')?.fence, floor: claims.floor('g') };
+  return { fence: claims.holder('g')?.fence, floor: claims.minFence('g') };
 };
 
-describe('claims of a group', () => {
-  it('are won by the first that replaces the holder', async () => {
+describe('group claims', () => {
+  it('are won by the first claim that replaces the holder', async () => {
     const race = [claim('a', -1), claim('b', 0), claim('c', 0), { kind: 'other' }];
     expect(await holderAfter(race)).to.deep.equal({ fence: 1, floor: 1 });
   });
@@ -35,18 +35,18 @@
     expect(await holderAfter(copies)).to.deep.equal({ fence: 2, floor: 2 });
   });
 
-  it('that have aged out of the log are obeyed no more', async () => {
+  it('are no longer accepted once expired from the log', async () => {
     const aged = [claim('a', -1), claim('b', 0), { kind: 'other' }];
     expect(await holderAfter(aged, 2)).to.deep.equal({ fence: undefined, floor: 1 });
     expect(await holderAfter([...aged, claim('c', 1)], 2)).to.deep.equal({ fence: 3, floor: 3 });
   });
 });
 
-// The append of a claim takes effect, or does not, and its answer is lost. Were it taken for a
-// failure, the group would have a coordinator in the log that no process feels to be.
+// The answer to the append of a claim is lost, whether it had an effect or not. If that counted as
+// a failure, the log could name a coordinator that doesn't act as one.
 describe('a claim whose answer is lost', () => {
   for (const fault of ['lost-answer', 'lost-request'] as const) {
-    it(`is looked up and holds once (${fault})`, async () => {
+    it(`is found in the log and counts once (${fault})`, async () => {
       const group = createFakeGroup();
       group.fakeLog.faults.appends.push(fault);
       await expectOneMap(group);
@@ -56,10 +56,10 @@
   }
 });
 
-// The log is down when the group starts: nobody can become coordinator, and no step is lost once
-// it has one, whatever the log does after that.
-describe('a group whose log is down', () => {
-  it('forms when the log comes back, and steps through the next outage', async () => {
+// Without the log, no agent can become coordinator. Once the group has one, an outage of the log or
+// the loss of the coordinator must not cost a step.
+describe('a group without its log', () => {
+  it('forms when the log comes back, and keeps stepping through the next outage', async () => {
     const group = createFakeGroup();
     group.fakeLog.faults.down = true;
     await group.clock.advance(1_000);
@@ -71,7 +71,7 @@
     expect(group.oracle).to.deep.include({ mixed: [], heldMs: 0 });
   });
 
-  it('loses no step with its coordinator', async () => {
+  it('loses no step when its coordinator is killed', async () => {
     const group = createFakeGroup();
     await group.until(() => group.oracle.versions.size >= 2);
     const [coordinator = 0] = group.acting();
--- a/packages/experts/test/interleavings.test.ts
+++ b/packages/experts/test/interleavings.test.ts
@@ -1,22 +1,22 @@
 import * as fc from 'fast-check';
 import { createFakeGroup } from './fakes/fake-group.js';
 import type { FakeGroup } from './fakes/fake-group.js';
-import type { Fate } from './fakes/fake-network.js';
+import type { Delivery } from './fakes/fake-network.js';
 import { expectOneMap } from './fakes/faulty-change.js';
 
-type Mishap = 'restart' | 'freeze' | 'wake' | 'lose-rank' | 'replace-vm' | 'log-down' | 'log-up';
+type Fault = 'restart' | 'freeze' | 'wake' | 'lose-rank' | 'replace-vm' | 'log-down' | 'log-up';
 
-const fate = fc.oneof(
-  { weight: 12, arbitrary: fc.constant<Fate | undefined>(undefined) },
-  { weight: 2, arbitrary: fc.constant<Fate | undefined>([]) },
-  { weight: 3, arbitrary: fc.integer({ min: 2, max: 150 }).map((ms): Fate => [ms]) },
-  { weight: 2, arbitrary: fc.integer({ min: 1, max: 150 }).map((ms): Fate => [1, ms]) },
+const delivery = fc.oneof(
+  { weight: 12, arbitrary: fc.constant<Delivery | undefined>(undefined) },
+  { weight: 2, arbitrary: fc.constant<Delivery | undefined>([]) },
+  { weight: 3, arbitrary: fc.integer({ min: 2, max: 150 }).map((ms): Delivery => [ms]) },
+  { weight: 2, arbitrary: fc.integer({ min: 1, max: 150 }).map((ms): Delivery => [1, ms]) },
 );
 
-const mishap = fc.record({
+const faultAt = fc.record({
   at: fc.integer({ min: 0, max: 120 }),
   rank: fc.integer({ min: 0, max: 2 }),
-  kind: fc.constantFrom<Mishap>(
+  kind: fc.constantFrom<Fault>(
     'restart',
     'freeze',
     'wake',
@@ -32,7 +32,7 @@
   group.startAgent(rank);
 };
 
-const cause = (group: FakeGroup, kind: Mishap, rank: number): void => {
+const injectFault = (group: FakeGroup, kind: Fault, rank: number): void => {
   const { process } = group.agent(rank);
   if (kind === 'restart') restart(group, rank);
   if (kind === 'freeze') process.freeze();
@@ -47,37 +47,37 @@
   }
 };
 
-// Several things go wrong in one change: messages lost, late and doubled while processes die,
-// sleep and come back and the log has an outage. Whatever the order, no step may mix maps, and
-// when the faults end the group steps on one map again.
-describe('interleavings of faults', () => {
+// Several faults coincide: messages are lost, late and duplicated while processes exit, restart and
+// are suspended and the log has an outage. No step may mix maps, and when the faults end, the group
+// must step with one map again.
+describe('coinciding faults', () => {
   for (const checksFence of [true, false]) {
-    it(`never mix maps; engines ${checksFence ? 'check' : 'ignore'} numbers`, async () => {
+    it(`never mix maps; engines ${checksFence ? 'check' : 'ignore'} fencing tokens`, async () => {
       const run = async (
         seed: number,
-        fates: (Fate | undefined)[],
-        mishaps: { at: number; rank: number; kind: Mishap }[],
+        deliveries: (Delivery | undefined)[],
+        faults: { at: number; rank: number; kind: Fault }[],
       ): Promise<void> => {
         const group = createFakeGroup({ seed, checksFence });
         await group.until(() => group.oracle.steps > 20);
         let messages = 0;
-        group.network.setFates(() => {
-          mishaps
+        group.network.setDeliveries(() => {
+          faults
             .filter(({ at }) => at === messages)
-            .forEach(({ kind, rank }) => cause(group, kind, rank));
+            .forEach(({ kind, rank }) => injectFault(group, kind, rank));
           messages += 1;
-          return fates[messages % fates.length];
+          return deliveries[messages % deliveries.length];
         });
         await group.clock.advance(1_000);
-        group.network.setFates(() => undefined);
+        group.network.setDeliveries(() => undefined);
         Object.assign(group.fakeLog.faults, { isDown: false });
         group.agents.forEach(({ process }) => process.wake());
         await expectOneMap(group);
       };
       const inputs = [
         fc.integer({ min: 1, max: 1_000 }),
-        fc.array(fate, { minLength: 1, maxLength: 60 }),
-        fc.array(mishap, { maxLength: 5 }),
+        fc.array(delivery, { minLength: 1, maxLength: 60 }),
+        fc.array(faultAt, { maxLength: 5 }),
       ] as const;
       await fc.assert(fc.asyncProperty(...inputs, run), { seed: 5, numRuns: 300 });
     });
--- a/packages/experts/test/plan.test.ts
+++ b/packages/experts/test/plan.test.ts
@@ -18,9 +18,9 @@
 
 const layout: GroupLayout = { rankCount: 8, layers: 4, experts: 16, slots: 3, bytesPerExpert: 1 };
 const noPause = (): Promise<void> => Promise.resolve();
-const usualSpeeds = new Array<number>(layout.rankCount).fill(1);
+const normalSpeeds = new Array<number>(layout.rankCount).fill(1);
 
-/** Shares that fall by this factor from one expert to the next, turned by layer. */
+/** Popularity that decreases by this factor from one expert to the next, rotated by layer. */
 const fallingShares = (factor: number): number[][] =>
   Array.from({ length: layout.layers }, (_, layer) => {
     const weights = Array.from(
@@ -32,10 +32,10 @@
   });
 
 describe('the expert map', () => {
-  const even = { version: 1, layers: evenLayers(layout) };
+  const evenMap = { version: 1, layers: evenLayers(layout) };
 
   it('names every broken rule', () => {
-    const [first = [], ...rest] = even.layers;
+    const [first = [], ...rest] = evenMap.layers;
     const broken = first.map(({ expert, ranks }) => {
       if (expert === 0) return { expert, ranks: [] };
       if (expert === 1) return { expert, ranks: [2, 2, 9] };
@@ -44,11 +44,11 @@
     expect(faultsOfMap({ version: 1, layers: [broken, ...rest] }, layout)).toMatchSnapshot();
   });
 
-  it('changes into larger versions only', () => {
-    const map = createExpertMap(even, layout);
+  it('changes to larger versions only', () => {
+    const map = createExpertMap(evenMap, layout);
     if (!map.ok) throw new Error('the even map must be valid');
-    expect(map.value.next({ ...even, version: 2 }).ok).to.equal(true);
-    const same = map.value.next(even);
+    expect(map.value.next({ ...evenMap, version: 2 }).ok).to.equal(true);
+    const same = map.value.next(evenMap);
     const fault = { fault: 'version-not-larger', version: 1, current: 1 };
     expect(same).to.deep.equal({ ok: false, err: [fault] });
   });
@@ -57,7 +57,7 @@
 describe('a plan', () => {
   const limits = limitsFor('skew', 600_000, layout.rankCount);
 
-  it('keeps the rules and is never worse, whatever the load', async () => {
+  it('is valid and never worse than the current map, for any load', async () => {
     const weights = fc.array(fc.integer({ min: 1, max: 1000 }), {
       minLength: layout.experts,
       maxLength: layout.experts,
@@ -79,8 +79,8 @@
     await fc.assert(fc.asyncProperty(layers, speeds, run), { seed: 7, numRuns: 50 });
   });
 
-  it('moves little, and nothing once the load is even', async () => {
-    const load = { popularity: fallingShares(0.8), speeds: usualSpeeds, fixedShare: 0 };
+  it('moves few experts, and none once the load is even', async () => {
+    const load = { popularity: fallingShares(0.8), speeds: normalSpeeds, fixedShare: 0 };
     const first = await planMap(evenLayers(layout), layout, load, limits, noPause);
     expect(first.after).to.be.below(1.05);
     expect(first.moves.length).to.be.within(1, 16);
@@ -88,28 +88,28 @@
     expect(isWorthwhile('skew', second)).to.equal(false);
   });
 
-  it('gives a straggler less work', async () => {
-    const speeds = usualSpeeds.map((speed, rank) => (rank === 2 ? 0.5 : speed));
+  it('assigns less work to a straggler', async () => {
+    const speeds = normalSpeeds.map((speed, rank) => (rank === 2 ? 0.5 : speed));
     const load = { popularity: fallingShares(1), speeds, fixedShare: 0 };
     const plan = await planMap(evenLayers(layout), layout, load, limits, noPause);
-    const work = createPlacementState(plan.layers, layout, { ...load, speeds: usualSpeeds }).times;
+    const work = createPlacementState(plan.layers, layout, { ...load, speeds: normalSpeeds }).times;
     expect(plan.after).to.be.below(plan.before * 0.7);
     expect(work[2]).to.be.below(0.7);
   });
 
-  it('moves less when the cost of rebalancing weighs more', async () => {
-    const load = { popularity: fallingShares(0.8), speeds: usualSpeeds, fixedShare: 0 };
-    const frugal = limitsFor('rebalancing-cost', 60_000, layout.rankCount);
-    const eager = limitsFor('skew', 60_000, layout.rankCount);
-    const less = await planMap(evenLayers(layout), layout, load, frugal, noPause);
-    const more = await planMap(evenLayers(layout), layout, load, eager, noPause);
+  it('moves fewer experts when the cost of rebalancing weighs more', async () => {
+    const load = { popularity: fallingShares(0.8), speeds: normalSpeeds, fixedShare: 0 };
+    const costLimits = limitsFor('rebalancing-cost', 60_000, layout.rankCount);
+    const skewLimits = limitsFor('skew', 60_000, layout.rankCount);
+    const less = await planMap(evenLayers(layout), layout, load, costLimits, noPause);
+    const more = await planMap(evenLayers(layout), layout, load, skewLimits, noPause);
     expect(less.moves.length).to.be.below(more.moves.length);
     expect(less.after).to.be.above(more.after);
   });
 });
 
 describe('speeds of ranks', () => {
-  const work = usualSpeeds;
+  const work = normalSpeeds;
   const times = (slow: number) => work.map((_, rank) => (rank === 2 ? 5_000 / slow : 5_000));
 
   it('call a rank a straggler after three clear reports, and take it back after three', () => {
@@ -121,7 +121,7 @@
     expect(verdicts).toMatchSnapshot();
   });
 
-  it('call nobody a straggler for noise', () => {
+  it('do not make a rank a straggler because of noise', () => {
     const random = createSeededRandom(3);
     const speeds = createRankSpeeds(layout.rankCount);
     for (let round = 0; round < 500; round += 1) {
@@ -134,8 +134,8 @@
   });
 });
 
-// Reports of some engines are missing, so the experts that only they hold look unpopular. A plan
-// on them would move experts for nothing, and the next complete round would move them back.
+// Reports of some engines are missing, so experts that only they hold look unpopular. A plan based
+// on that would move experts for nothing, and the next complete round would move them back.
 describe('popularity', () => {
   const report = (tokens: number[]): ReportAnswer => ({
     outcome: 'ok',
@@ -143,7 +143,7 @@
     tokens,
   });
 
-  it('is left as it was by a round with a report missing for too long', () => {
+  it('is not updated by a round in which a report is missing for too long', () => {
     const small = { ...layout, layers: 1, experts: 2 };
     const tracker = createLoadTracker({ layout: small, staleMs: 25 });
     const nodes = ['a', 'b'];
@@ -161,7 +161,7 @@
     expect(tracker.popularity()).to.deep.equal([[0.75, 0.25]]);
   });
 
-  it('that only seems to move, by noise and lost reports, causes few changes', async () => {
+  it('causes few changes when only noise and lost reports make it vary', async () => {
     const random = createSeededRandom(11);
     const tracker = createTrackerFor(layout, 60_000);
     const shares = fallingShares(0.95);
@@ -177,13 +177,13 @@
       const popularity = tracker.popularity();
       if (!isComplete || !popularity) continue;
       const limits = limitsFor('skew', tracker.lifeMs(), layout.rankCount);
-      const load = { popularity, speeds: usualSpeeds, fixedShare: 0.4 };
+      const load = { popularity, speeds: normalSpeeds, fixedShare: 0.4 };
       const plan = await planMap(layers, layout, load, limits, noPause);
       if (!isWorthwhile('skew', plan)) continue;
       if (minute > 5) changes += 1;
       layers = plan.layers;
     }
-    // An hour of noise; a plan that followed it would change the map in nearly each minute.
+    // One hour of noise. Plans that followed it would change the map almost every minute.
     expect(changes).to.be.at.most(5);
   });
 });
@@ -202,17 +202,17 @@
     await expectOneMap(group);
   });
 
-  it('loads weights on few engines at a time, however large the group', async () => {
+  it('loads weights at few engines at a time, even in a large group', async () => {
     const group = createFakeGroup({ ranks: 8 });
     let loading = 0;
-    let most = 0;
-    group.network.setFates(({ kind, method }) => {
+    let maxLoading = 0;
+    group.network.setDeliveries(({ kind, method }) => {
       if (method !== 'experts.prepare') return undefined;
       loading += kind === 'request' ? 1 : -1;
-      most = Math.max(most, loading);
+      maxLoading = Math.max(maxLoading, loading);
       return undefined;
     });
     await group.until(() => group.oracle.versions.size >= 2);
-    expect(most).to.be.within(1, 2);
+    expect(maxLoading).to.be.within(1, 2);
   });
 });
--- a/packages/experts/test/unknown-map.test.ts
+++ b/packages/experts/test/unknown-map.test.ts
@@ -2,12 +2,12 @@
 import { createFakeGroup } from './fakes/fake-group.js';
 import { expectOneMap } from './fakes/faulty-change.js';
 
-// Every agent of a group is replaced at once, as in a rolling upgrade that outran the copies of the
-// map that agents keep for each other. The engines step on, but no agent can tell what the map in
-// use is. Callers would see the group grow slower for good as popularity drifts: without the map
-// no coordinator can plan. It must change to a map that it knows first.
+// All agents of a group are replaced before they could copy the map in use to each other, for
+// example in a fast rolling upgrade. The engines continue, but without the map no coordinator can
+// plan, and the group would become slower as popularity drifts. It must first change to a known
+// map.
 describe('a map that no agent knows', () => {
-  it('is replaced by one that plans can start from', async () => {
+  it('is replaced by a known map from which plans can start', async () => {
     const group = createFakeGroup();
     await group.until(() => group.oracle.steps > 20);
     const unknown = group.engines[0]?.version() ?? -1;
--- a/packages/experts/test/votes.test.ts
+++ b/packages/experts/test/votes.test.ts
@@ -18,9 +18,9 @@
   return { group, serve };
 };
 
-// A rank told the others "refused", so they have aborted; then its agent restarts and forgets. If
-// a copy of the arm order still armed it, an armed rank that asks now would hear "armed" from all
-// and switch alone: a mixed step. The engine must keep the refusal.
+// A rank voted `refused`, so the others aborted; then its agent restarts. If a duplicate of the arm
+// order could still arm it, another armed rank that queries now would get `armed` from all and
+// switch alone, which mixes maps. The engine must keep the refusal.
 describe('votes', () => {
   it('stay refused when the agent restarts', async () => {
     const { group, serve } = await preparedGroup();
@@ -31,7 +31,7 @@
     expect(await serve(0, 'arm', ARM)).to.include({ vote: 'refused' });
   });
 
-  it('stay refused when an arm order of a dead agent reaches the engine late', async () => {
+  it('stay refused when an arm order of an earlier agent reaches the engine late', async () => {
     const { group, serve } = await preparedGroup();
     const port = group.engines[0]?.connect();
     await serve(0, 'outcome', { version: VERSION });
@@ -47,14 +47,14 @@
     expect(await serve(0, 'outcome', { version: VERSION })).to.include({ vote: 'armed' });
   });
 
-  it('of an arm under an old number are refusals that last', async () => {
+  it('are final refusals after an arm order with an old fencing token', async () => {
     const { group, serve } = await preparedGroup();
     await group.agent(0).member.serve('experts.heartbeat', { fence: 7 });
     expect(await serve(0, 'arm', ARM)).to.include({ vote: 'refused' });
     expect(await serve(0, 'arm', { ...ARM, fence: 7 })).to.include({ vote: 'refused' });
   });
 
-  it('decide nothing while a rank is unheard', () => {
+  it('decide nothing while the vote of a rank is missing', () => {
     const armed = (...ranks: number[]) => ({ vote: 'armed', ranks }) as const;
     expect(decisionOf([armed(0), armed(1, 2)], 3)).to.equal('switch');
     expect(decisionOf([armed(0), armed(0), armed(1)], 3)).to.equal(undefined);
@@ -62,9 +62,9 @@
   });
 });
 
-// The log is down, so an agent that restarts asks the others for the number to obey. It answered
-// the first round of a registration and restarts before the others have answered theirs: they
-// tell it the old number, and it would obey the deposed coordinator.
+// The log is down, so an agent that restarts recovers the fencing token from the others. If it
+// restarts after it answered the first round of a registration and before the others did, it gets
+// the old token and would accept orders of the replaced coordinator.
 describe('registration', () => {
   it('is not complete when an agent restarted during it', async () => {
     const group = createFakeGroup();
@@ -79,7 +79,7 @@
       call: (to: string, method: ExpertMethod, args: unknown, ms: number) =>
         group.network.call('vm-0', to, method, args, ms),
     } as unknown as CoordinatorOptions;
-    group.network.setFates(({ kind, to, from }) => {
+    group.network.setDeliveries(({ kind, to, from }) => {
       if (kind !== 'answer' || to !== 'vm-0' || from !== 'vm-1') return undefined;
       group.agent(1).process.kill();
       group.startAgent(1);
