--- a/packages/rank-groups/src/change/arming-time.ts
+++ b/packages/rank-groups/src/change/arming-time.ts
@@ -1,74 +1,82 @@
 /**
- * How many passes ahead a pass is held, so that all ranks are armed before it would begin.
+ * Number of passes ahead at which a pass is held, so that all ranks are armed before it would
+ * begin.
  *
- * The pattern: the group stands still from where a held pass would have begun until its last rank is armed,
- * and that time is a pause in every stream. In a group of 63 ranks passes took 100 ms, arming 70 to 190,
- * and a pass held one or two ahead began after 200 to 264: each change of map made every stream late, and
- * there was more than one change in the time of a stream. So the lead follows what arming takes, from the report
- * on by which the pass is counted. With four passes at the most, counted from the hold on, an emulated group of
- * 72 ranks had 68 to 86 in 100 streams on time where an order took 60 ms, and 27 to 43 where it took 120; it has
- * 99 of both.
+ * A group stalls from the time at which the held pass would have begun until its last rank is
+ * armed, and every stream pauses for that time. In a group of 63 ranks with passes of 100 ms,
+ * arming took 70 to 190 ms, and a pass held one or two ahead began after 200 to 264 ms. Each map
+ * change made every stream late, and there was more than one change in the lifetime of a stream.
+ * Therefore the distance follows the observed arming time, measured from the report from which the
+ * pass is counted. In an emulated group of 72 ranks, a limit of four passes counted from the hold
+ * left 68 to 86 in 100 streams on time with orders that took 60 ms, and 27 to 43 with orders of 120
+ * ms. Following the arming time leaves 99 on time in both cases.
  *
- * A pass further ahead costs one more pass with the uneven map. While passes are as short as callers want, no stream
- * is late by it, and every stream by a pass that waits; where passes are too long already it is the other way round,
- * and the soonest pass is taken.
+ * Each pass further ahead costs one more pass with the uneven map. While passes are as short as the
+ * target, that makes no stream late, whereas a stalled pass makes every stream late. While passes
+ * are already too long the opposite holds, and the earliest possible pass is held.
  */
 
 import { createEstimate } from '@plantaindrum/common';
 
-/** The time of arming a group, as it was observed. */
+/** Estimate of the time that arming a group takes. */
 export interface ArmingTime {
-  /** A group was armed this long after the report from which its held pass was counted, in ms. */
-  note(ms: number): void;
-  /** Passes between the one that runs and the one to hold. */
-  lead(group: PassingGroup): number;
+  /**
+   * Records the time from the report from which a held pass was counted until the group was armed,
+   * in ms.
+   */
+  record(ms: number): void;
+  /** Returns the distance from the running pass to the one to hold, in passes. */
+  passesAhead(group: GroupTiming): number;
 }
 
-/** What is known of a group whose pass is to be held, in ms. */
-export interface PassingGroup {
-  /** Time of a pass at present. */
+/** Timing of a group whose pass is to be held, in ms. */
+export interface GroupTiming {
+  /** Current time of a pass. */
   passMs: number;
-  /** How long all ranks have just taken to answer an order. */
+  /** Time in which all ranks answered the last order. */
   orderMs: number;
-  /** Longest pause that streams of the group are to have; undefined where none is declared. */
+  /** Target for the longest pause in a stream; undefined if none is declared. */
   targetMs: number | undefined;
 }
 
-/** Least time of arming that is reckoned with before any was observed, in ms: two answers of all ranks. */
-const FIRST_MS = 70;
-/** Orders to all ranks from the report on: whether all are there, and arming. */
+/** Expected arming time before any was observed, in ms: two answers from all ranks. */
+const INITIAL_ARMING_MS = 70;
+/** Requests to all ranks after the report: the liveness check and arming. */
 const ORDERS_TO_ALL = 2;
-/** The first deviation is narrow: a group that forms anew needs its first maps soonest. */
+/**
+ * The initial deviation is small because a group that has just formed needs its first map changes
+ * soonest.
+ */
 const WEIGHTS = { mean: 0.2, deviation: 0.25, firstDeviation: 0.25 };
-/** Arming takes longer than the mean by this many deviations about once in twenty times. */
+/** Arming exceeds the mean by this many deviations about once in twenty times. */
 const DEVIATIONS = 2;
-/** The pass that runs ends at any time; it is not counted on. */
-const RUNNING = 1;
+/** The running pass may end at any time and is not counted on. */
+const RUNNING_PASSES = 1;
 /**
- * A pass is held no further ahead than this, in ms, however long arming takes: the uneven map stays in use until
- * then. Half of the second within which a shift should be followed by a better map.
+ * Maximum distance of a held pass, in ms, however long arming takes: the uneven map stays in use
+ * until then. It is half of the second within which a better map should follow a shift.
  */
-const MOST_AHEAD_MS = 500;
+const MAX_AHEAD_MS = 500;
 
-/** Creates the record. */
+/** Creates an estimate without observations. */
 export const createArmingTime = (): ArmingTime => {
   const observed = createEstimate(WEIGHTS);
 
-  /** Time of arming to be expected; in all but one of twenty times it takes less than `most`. */
-  const expected = (orderMs: number): { mean: number; most: number } => {
-    const { mean, deviation } = observed.usual() ?? { mean: FIRST_MS, deviation: 0 };
-    // An order that has just taken long says that links or VMs have turned slow before arming shows it.
-    const least = Math.max(mean, ORDERS_TO_ALL * orderMs);
-    return { mean: least, most: Math.max(least, mean + DEVIATIONS * deviation) };
+  /** Expected arming time. It is below `max` in all but one of twenty cases. */
+  const expected = (orderMs: number): { mean: number; max: number } => {
+    const { mean, deviation } = observed.usual() ?? { mean: INITIAL_ARMING_MS, deviation: 0 };
+    // A slow order shows that links or VMs have become slow before arming shows it.
+    const lowerBound = Math.max(mean, ORDERS_TO_ALL * orderMs);
+    return { mean: lowerBound, max: Math.max(lowerBound, mean + DEVIATIONS * deviation) };
   };
 
   return {
-    note: observed.note,
-    lead: ({ passMs, orderMs, targetMs = Infinity }) => {
-      const { mean, most } = expected(orderMs);
-      // Streams are late already: the soonest is best, and waiting costs them less than one more long pass.
-      if (passMs > targetMs) return Math.max(1, Math.round(Math.min(MOST_AHEAD_MS, mean) / passMs));
-      return RUNNING + Math.ceil(Math.min(MOST_AHEAD_MS, most) / Math.max(1, passMs));
+    record: observed.note,
+    passesAhead: ({ passMs, orderMs, targetMs = Infinity }) => {
+      const { mean, max } = expected(orderMs);
+      // Streams are already late: stalling in the earliest pass costs less than another long pass.
+      if (passMs > targetMs) return Math.max(1, Math.round(Math.min(MAX_AHEAD_MS, mean) / passMs));
+      return RUNNING_PASSES + Math.ceil(Math.min(MAX_AHEAD_MS, max) / Math.max(1, passMs));
     },
   };
 };
--- a/packages/rank-groups/src/change/group-port.ts
+++ b/packages/rank-groups/src/change/group-port.ts
@@ -1,48 +1,51 @@
-/** All ranks of one group, as a coordinator reaches them. */
+/** Interfaces through which a coordinator reads from and sends orders to the ranks of its group. */
 
 import type { Clock } from '@plantaindrum/common';
 import { sleep } from '@plantaindrum/common';
 import type { OrderOutcome, RankOrder, RankReport } from '../types.js';
 
-/** Reads from and orders to single ranks of one group. */
+/** Reads from and sends orders to single ranks of one group. */
 export interface RankPort {
-  /** Ranks of the group, from 0. */
+  /** Number of ranks. */
   size(): number;
-  /** The epoch that this coordinator last heard of. */
+  /** The last epoch that this coordinator has seen. */
   epoch(): number;
-  /** A rank's state as of now; undefined when it can't be had. */
+  /** Reads a rank's current state; undefined when it can't be read. */
   report(rank: number): Promise<RankReport | undefined>;
   order(rank: number, order: RankOrder): Promise<OrderOutcome>;
 }
 
-/** Reads from and orders to many ranks at once. */
+/** Reads from and sends orders to many ranks at once. */
 export interface GroupPort extends RankPort {
-  /** Reports as of now of those ranks that have answered. */
+  /** Reads current reports; ranks that don't answer are missing from the result. */
   reports(ranks: readonly number[]): Promise<RankReport[]>;
-  /** One try of an order at each rank; no entry is no answer. */
+  /** Sends an order to each rank once; a rank without an entry has not answered. */
   orders(ranks: readonly number[], order: RankOrder): Promise<ReadonlyMap<number, OrderOutcome>>;
-  /** Time in which an order to all ranks comes through, given again once where it has to be, in ms. */
-  patienceMs(): number;
-  /** Whether all ranks have copied a version before this time (monotonic, ms). */
+  /** Time allowed for an order to all ranks, including one retry where needed, in ms. */
+  orderTimeoutMs(): number;
+  /**
+   * Waits until all ranks have prepared a version; false when they have not by `giveUpAt`
+   * (monotonic, ms).
+   */
   arePrepared(epoch: number, version: number, giveUpAt: number): Promise<boolean>;
 }
 
-/** How an order that is repeated until it is answered ended. */
+/** Outcome of an order that is retried until it is answered. */
 export type RetriedOutcome = 'done' | 'refused' | 'gave-up';
 
-/** Pause between two tries of an order without an answer, in ms. */
-export const AGAIN_MS = 15;
-/** How often reports are read while ranks copy, in ms. */
-const LOOK_MS = 10;
+/** Pause before an order without an answer is sent again, in ms. */
+export const RETRY_DELAY_MS = 15;
+/** Time between readings of the reports while ranks copy, in ms. */
+const POLL_INTERVAL_MS = 10;
 
 /** All rank numbers of a group. */
 export const allRanks = (port: Pick<RankPort, 'size'>): number[] =>
   Array.from({ length: port.size() }, (_, rank) => rank);
 
 /**
- * Repeats an order until the rank answers. A try without an answer may be carried out late; that is
- * harmless because each order is one that the rank either takes once or refuses when its time is
- * over (see `switch-map.ts`). Gives up when the group has formed anew, or at `giveUpAt`.
+ * Repeats an order until the rank answers. An attempt without an answer may be carried out late.
+ * That is harmless because the rank either accepts each order once or refuses it when it comes too
+ * late (see `switch-map.ts`). Gives up when the group has formed again, or at `giveUpAt`.
  */
 export const retryOrder = async (
   port: RankPort,
@@ -55,11 +58,11 @@
     const outcome = await port.order(rank, order);
     if (outcome !== 'no-answer') return outcome;
     if (port.epoch() !== order.epoch || clock.monotonic() > giveUpAt) return 'gave-up';
-    await sleep(clock, AGAIN_MS);
+    await sleep(clock, RETRY_DELAY_MS);
   }
 };
 
-/** The same order to many ranks at once, given again to those that don't answer. */
+/** Repeats an order to many ranks until each has answered. */
 export const retryAtRanks = async (
   port: GroupPort,
   clock: Clock,
@@ -69,14 +72,14 @@
 ): Promise<RetriedOutcome[]> => {
   const answers = new Map<number, OrderOutcome>();
   for (;;) {
-    const open = ranks.filter((rank) => !answers.has(rank));
-    const outcomes = await port.orders(open, order);
+    const pending = ranks.filter((rank) => !answers.has(rank));
+    const outcomes = await port.orders(pending, order);
     outcomes.forEach((outcome, rank) => {
       if (outcome !== 'no-answer') answers.set(rank, outcome);
     });
     const isOver = port.epoch() !== order.epoch || clock.monotonic() > giveUpAt;
     if (isOver || ranks.every((rank) => answers.has(rank))) break;
-    await sleep(clock, AGAIN_MS);
+    await sleep(clock, RETRY_DELAY_MS);
   }
   return ranks.map((rank) => {
     const outcome = answers.get(rank);
@@ -84,7 +87,7 @@
   });
 };
 
-/** The same to all ranks. */
+/** Repeats an order to all ranks until each has answered. */
 export const retryAtAllRanks = (
   port: GroupPort,
   clock: Clock,
@@ -92,7 +95,9 @@
   giveUpAt = Infinity,
 ): Promise<RetriedOutcome[]> => retryAtRanks(port, clock, allRanks(port), order, giveUpAt);
 
-/** Fresh reports of all ranks; undefined when one is missing or of another epoch. */
+/**
+ * Reads current reports of all ranks; undefined when one is missing, of another epoch or closed.
+ */
 export const freshReports = async (
   port: GroupPort,
   epoch: number,
@@ -102,13 +107,16 @@
   return present.length === port.size() ? present : undefined;
 };
 
-/** Time for an order to ranks that are close at hand, in ms: some tens of tries. */
-const PATIENCE_MS = 700;
+/** Timeout of an order, in ms: several tens of attempts. */
+const ORDER_TIMEOUT_MS = 700;
 
-/** A port to all ranks made of one to each, for groups whose ranks are close at hand. */
+/**
+ * Creates a group port that calls each rank directly, for groups whose ranks are close to the
+ * coordinator.
+ */
 export const oneByOne = (port: RankPort, clock: Clock): GroupPort => ({
   ...port,
-  patienceMs: () => PATIENCE_MS,
+  orderTimeoutMs: () => ORDER_TIMEOUT_MS,
   reports: async (ranks) => {
     const reports = await Promise.all(ranks.map((rank) => port.report(rank)));
     return reports.flatMap((report) => (report ? [report] : []));
@@ -123,7 +131,7 @@
     for (;;) {
       if ((await Promise.all(allRanks(port).map(isReady))).every(Boolean)) return true;
       if (clock.monotonic() > giveUpAt || port.epoch() !== epoch) return false;
-      await sleep(clock, LOOK_MS);
+      await sleep(clock, POLL_INTERVAL_MS);
     }
   },
 });
--- a/packages/rank-groups/src/change/settle.ts
+++ b/packages/rank-groups/src/change/settle.ts
@@ -1,37 +1,37 @@
-/** Ends what another coordinator, or an earlier process, left half done: a pass that is held. */
+/** Resolves a held pass that another coordinator, or an earlier process, left behind. */
 
 import type { Clock, EventLog, Random } from '@plantaindrum/common';
 import type { Placement, RankReport } from '../types.js';
 import type { GroupPort } from './group-port.js';
 import { freshReports, retryOrder, retryAtAllRanks } from './group-port.js';
-import { withdrawPass } from './withdraw.js';
+import { abortHeldPass } from './withdraw.js';
 
-/** How a held pass was settled. */
-export type SettleOutcome = 'completed' | 'withdrawn' | 'nothing-held' | 'unreachable';
+/** How a held pass was resolved. */
+export type ResolveOutcome = 'completed' | 'withdrawn' | 'nothing-held' | 'unreachable';
 
-/** What settling needs. */
-export interface SettleOptions {
+/** Options of `resolveHeldPass`. */
+export interface ResolveOptions {
   port: GroupPort;
   clock: Clock;
   random: Random;
   log: EventLog;
 }
 
-interface FoundHold {
+interface HoldFound {
   rank: number;
   step: number;
 }
 
-/** The held pass that comes first; the others can't be reached before it. */
-const firstHeld = (reports: readonly RankReport[]): FoundHold | undefined =>
+/** The earliest held pass; later ones can't be reached before it. */
+const firstHeld = (reports: readonly RankReport[]): HoldFound | undefined =>
   reports
     .flatMap(({ rank, held }) => (held === undefined ? [] : [{ rank, step: held }]))
     .sort((a, b) => a.step - b.step)[0];
 
 /**
- * The version that all ranks can be armed with for a pass: some are armed for it with this one, and
- * the others have it prepared and aren't armed. Where none is armed, its coordinator may be about to
- * let the pass begin, and whoever arms a rank then would mix maps.
+ * The version with which all ranks can be armed for a pass: some ranks are armed with it, and the
+ * others have it prepared and are not armed. Undefined when no rank is armed: the coordinator that
+ * held the pass may be about to release it, and arming a rank then would mix maps.
  */
 const commonVersion = (reports: readonly RankReport[], step: number): number | undefined => {
   if (!reports.some(({ armed }) => armed?.step === step)) return undefined;
@@ -46,26 +46,26 @@
 };
 
 /**
- * Settles the first held pass of a group. To complete it is safe whatever its coordinator does
- * meanwhile, as both arm the same version for the same pass. To withdraw it is safe only where it
- * can't be completed: then some rank never was armed for the pass and can't be any more, so its
- * coordinator has not let the pass begin and never will with some ranks armed.
+ * Resolves the first held pass of a group. Completing it is safe whatever its coordinator does
+ * meanwhile, because both arm the same version for the same pass. Aborting it is safe only when it
+ * can't be completed: then some rank was never armed for the pass and can't be any more, so its
+ * coordinator has not released the pass and never will with some ranks armed.
  */
-export const settleHeldPass = async (
+export const resolveHeldPass = async (
   epoch: number,
   mapInUse: () => Promise<Placement | undefined>,
-  options: SettleOptions,
-): Promise<SettleOutcome> => {
+  options: ResolveOptions,
+): Promise<ResolveOutcome> => {
   const { port, clock, log } = options;
   const reports = await freshReports(port, epoch);
   if (!reports) return 'unreachable';
   const held = firstHeld(reports);
   if (!held) return 'nothing-held';
-  // Read last: while it is still held, no pass has begun between the reports above.
-  const again = await port.report(held.rank);
-  if (again?.held !== held.step || again.epoch !== epoch) return 'nothing-held';
+  // This is read last: if the pass is still held, no pass began while the reports above were read.
+  const recheck = await port.report(held.rank);
+  if (recheck?.held !== held.step || recheck.epoch !== epoch) return 'nothing-held';
 
-  const go = async (): Promise<void> => {
+  const sendGo = async (): Promise<void> => {
     await retryOrder(port, clock, held.rank, { op: 'go', epoch, step: held.step });
   };
   const version = commonVersion(reports, held.step);
@@ -75,19 +75,19 @@
     const order = { op: 'arm', epoch, version, step: held.step } as const;
     const outcomes = await retryAtAllRanks(port, clock, order);
     if (!outcomes.every((outcome) => outcome === 'done')) return 'unreachable';
-    await go();
+    await sendGo();
     return 'completed';
   }
 
-  // Nothing is armed and nothing can be: the hold itself came late.
+  // No rank is armed and none can be: the hold itself arrived late.
   if (reports.every(({ armed, prepared }) => !armed && prepared === undefined)) {
-    await go();
+    await sendGo();
     return 'withdrawn';
   }
   const current = await mapInUse();
   if (!current) return 'unreachable';
-  const isSafe = await withdrawPass({ epoch, step: held.step, current }, options);
-  if (!isSafe) return 'unreachable';
-  await go();
+  const isAborted = await abortHeldPass({ epoch, step: held.step, current }, options);
+  if (!isAborted) return 'unreachable';
+  await sendGo();
   return 'withdrawn';
 };
--- a/packages/rank-groups/src/change/switch-map.ts
+++ b/packages/rank-groups/src/change/switch-map.ts
@@ -1,33 +1,37 @@
 /**
- * The change of a group's map by orders that may be lost, or carried out seconds late.
+ * Changes a group's map with orders that may be lost, or carried out seconds late.
  *
- * What must hold: when a pass begins, all ranks use the same map. A rank's map changes only where
- * it is armed for a pass that begins. So for each pass S: when S begins, either all ranks are armed
+ * Invariant: when a pass begins, all ranks use the same map. A rank's map changes only when a pass
+ * begins for which the rank is armed. So for each pass S: when S begins, either all ranks are armed
  * for S with one version, or none is.
  *
- * 1. `prepare` a version that no other map bears, on all ranks, and see it prepared on all. A rank
- *    keeps one prepared version, and refuses others while it is armed.
- * 2. `hold` a pass S at this coordinator's own rank, given by the agent of another VM. No rank begins
- *    S before `go` S at that rank. Without an answer the change ends here, with no rank armed.
- * 3. See that every rank still answers, and `arm` the version for S on all, until each has said yes.
- * 4. `go` S, only when all are armed or none can ever be.
+ * 1. `prepare` a version that no other map has, on all ranks, and wait until all have prepared it.
+ *    A rank keeps one prepared version, and refuses others while it is armed.
+ * 2. `hold` a pass S at this coordinator's own rank; the order is sent by the agent of another VM.
+ *    No rank begins S before that rank receives `go` S. Without an answer the change ends here,
+ *    with no rank armed.
+ * 3. Check that every rank still answers, then `arm` the version for S on all ranks, until each has
+ *    accepted.
+ * 4. `go` S, only when all ranks are armed or none can ever be.
  *
- * An order that arrives late does no harm. A late `arm` finds S begun and is refused, or finds the
- * rank armed with the same version for the same S. A late `hold` finds S begun, or holds a pass
- * that `settle` lets go. A late `go` S can only be one that was sent when S was allowed to begin, S is not
- * used again in the epoch by this coordinator, and others hold at ranks of their own. A late
- * `prepare` is of a version that the rank has had. A late `disarm` is of a version that is never
- * armed again. In another epoch all of them are refused.
+ * Late orders are harmless. A late `arm` is refused because S has begun, or finds the rank armed
+ * with the same version for the same S. A late `hold` is refused because S has begun, or holds a
+ * pass that `resolveHeldPass` releases. A late `go` S was sent when S was allowed to begin;
+ * this coordinator never uses S again in the epoch, and others hold passes at ranks of their own. A
+ * late `prepare` has a version that the rank has already had. A late `disarm` has a version that is
+ * never armed again. In another epoch all of them are refused.
  *
- * Two coordinators do no harm either: a rank that is armed refuses to prepare, so only one version
- * can be armed everywhere, and a hold is released only by whoever sees its pass settled. Nobody else arms a
- * pass at which no rank is armed (see `settle.ts`), so a coordinator that has armed none may let it go.
+ * Two concurrent coordinators are harmless too. An armed rank refuses to prepare, so only one
+ * version can be armed everywhere, and a hold is released only by a coordinator that knows its pass
+ * to be decided. No coordinator arms another one's pass at which no rank is armed (see
+ * `resolveHeldPass`), so a coordinator that has armed no rank may release its pass.
  *
- * Why another VM gives the hold: a VM that stops right after it has given one can't be reached, nor
- * its engine, and whether its rank is armed stays unknown until it wakes; a group whose coordinator
- * froze there stood still for 4 s. The coordinator is still there when its helper freezes, knows that
- * it has armed nobody, and lets the pass begin. For the same reason no rank is armed before all have
- * answered since the hold. What is left: a VM that freezes in the some 10 ms of arming.
+ * The hold is sent through another VM for this reason: when a VM stops right after holding a pass,
+ * neither it nor its engine can be reached, and whether its rank is armed stays unknown until the
+ * VM resumes; a group whose coordinator froze at that point stalled for 4 s. When the VM of the
+ * other agent freezes instead, the coordinator still runs, knows that it has armed no rank, and
+ * releases the pass. For the same reason no rank is armed before all have answered after the hold.
+ * The remaining case is a VM that freezes during the approximately 10 ms of arming.
  */
 
 import type { Clock, EventLog, Random } from '@plantaindrum/common';
@@ -36,59 +40,73 @@
 import { createArmingTime } from './arming-time.js';
 import type { GroupPort, RetriedOutcome } from './group-port.js';
 import { freshReports, retryAtAllRanks, retryOrder } from './group-port.js';
-import { withdrawPass } from './withdraw.js';
+import { abortHeldPass } from './withdraw.js';
 
-/** How a change ended. */
+/** Outcome of a map change. */
 export type SwitchOutcome =
   'switched' | 'not-prepared' | 'not-held' | 'rank-silent' | 'aborted' | 'group-formed-anew';
 
-/** What a change needs. */
+/** Options of `createMapSwitch`. */
 export interface SwitchOptions {
   port: GroupPort;
   /** The rank beside this coordinator, at which it holds passes. */
   ownRank: number;
-  /** Gives an order to the own rank from another VM; undefined when no other agent is linked. */
+  /**
+   * Sends an order to the local rank through an agent on another VM; undefined when no other agent
+   * is linked.
+   */
   orderOwnFromAfar: (order: RankOrder) => Promise<OrderOutcome> | undefined;
-  /** Time of a pass at present, in ms; undefined before it is known. */
+  /** Current time of a pass, in ms; undefined before it is known. */
   passMs: () => number | undefined;
-  /** Longest pause that the group's streams are to have, in ms; undefined where none is declared. */
+  /** Target for the longest pause in a stream, in ms; undefined if none is declared. */
   targetMs: number | undefined;
   clock: Clock;
   random: Random;
   log: EventLog;
 }
 
-/** One change. */
+/** One map change. */
 export interface MapChange {
   epoch: number;
   version: number;
   placement: Placement;
-  /** The map in use, to which an aborted change goes back. */
+  /** The map in use, which stays in use when the change is aborted. */
   current: Placement;
-  /** How long copying takes, in milliseconds. */
+  /** Time that copying takes, in ms. */
   copyMs: number;
 }
 
-/** A pass that is held, and when the report was read from which it was counted (monotonic, ms). */
+/**
+ * A held pass, and the time at which the report from which it was counted was read (monotonic, ms).
+ */
 interface HeldPass {
   step: number;
   countedAt: number;
-  /** Passes between the one that ran then and this one, and the time that each was reckoned to take, in ms. */
-  lead: number;
+  /**
+   * Distance from the pass that ran at that time, in passes, and the expected time of each pass, in
+   * ms.
+   */
+  passesAhead: number;
   passMs: number;
 }
 
-/** Pause before ranks are asked whether they are still there, in ms; well under the passes ahead. */
-const STILL_THERE_MS = 15;
-/** Time of a pass that is reckoned with before one is known, in ms. */
-const USUAL_PASS_MS = 60;
-/** Tries to hold a pass before it begins. */
-const HOLD_TRIES = 3;
-/** Pause between two tries to withdraw a change while a rank can't be reached, in ms. */
-const WITHDRAW_AGAIN_MS = 40;
-
-/** The highest pass that this process has held, by epoch: none is held twice. */
-const createHeldSteps = () => {
+/**
+ * Pause before the check that all ranks still answer, in ms; well below the time until the held
+ * pass.
+ */
+const LIVENESS_CHECK_DELAY_MS = 15;
+/** Assumed time of a pass before one is known, in ms. */
+const DEFAULT_PASS_MS = 60;
+/** Maximum number of attempts to hold a pass before it begins. */
+const MAX_HOLD_ATTEMPTS = 3;
+/** Pause between two attempts to abort a change while a rank can't be reached, in ms. */
+const ABORT_RETRY_DELAY_MS = 40;
+
+/**
+ * Chooses the passes to hold. Each is above all earlier ones of the epoch, so that none is held
+ * twice.
+ */
+const createHoldStepAllocator = () => {
   let last = { epoch: -1, step: -1 };
   return (epoch: number, step: number): number => {
     const next = last.epoch === epoch ? Math.max(step, last.step + 1) : step;
@@ -97,80 +115,81 @@
   };
 };
 
-/** Creates the way a coordinator changes its group's map. */
+/** Creates the function that changes the map of a coordinator's group. */
 export const createMapSwitch = (options: SwitchOptions) => {
   const { port, ownRank, orderOwnFromAfar, clock, log } = options;
-  const heldStep = createHeldSteps();
-  // A helper that didn't get through is passed over once, or its group would never change its map.
-  let asksHelper = true;
+  const allocateHoldStep = createHoldStepAllocator();
+  // After a hold through another agent went unanswered, the next one is sent directly. Otherwise a
+  // group whose other agent can't reach the engine would never change its map.
+  let usesPeer = true;
   const arming = createArmingTime();
-  /** How long all ranks took to answer the last order to prepare, in ms. */
+  /** Time in which all ranks answered the last `prepare` order, in ms. */
   let orderMs = 0;
 
-  const giveHold = async (epoch: number, step: number): Promise<RetriedOutcome | 'no-answer'> => {
+  const sendHold = async (epoch: number, step: number): Promise<RetriedOutcome | 'no-answer'> => {
     const order = { op: 'hold', epoch, step } as const;
-    const fromAfar = asksHelper ? orderOwnFromAfar(order) : undefined;
-    const outcome = await (fromAfar ?? retryOrder(port, clock, ownRank, order));
-    asksHelper = outcome !== 'no-answer';
+    const viaPeer = usesPeer ? orderOwnFromAfar(order) : undefined;
+    const outcome = await (viaPeer ?? retryOrder(port, clock, ownRank, order));
+    usesPeer = outcome !== 'no-answer';
     return outcome;
   };
 
-  const letGo = (epoch: number, step: number): Promise<RetriedOutcome> =>
+  const sendGo = (epoch: number, step: number): Promise<RetriedOutcome> =>
     retryOrder(port, clock, ownRank, { op: 'go', epoch, step });
 
-  const isAnew = (epoch: number): boolean => port.epoch() !== epoch;
+  const hasReformed = (epoch: number): boolean => port.epoch() !== epoch;
 
   const prepareAll = async (change: MapChange): Promise<boolean> => {
     const { epoch, version, placement } = change;
-    const began = clock.monotonic();
-    const giveUpAt = began + change.copyMs + port.patienceMs();
+    const startedAt = clock.monotonic();
+    const giveUpAt = startedAt + change.copyMs + port.orderTimeoutMs();
     const order = { op: 'prepare', epoch, version, placement } as const;
     const outcomes = await retryAtAllRanks(port, clock, order, giveUpAt);
-    orderMs = clock.monotonic() - began;
+    orderMs = clock.monotonic() - startedAt;
     if (outcomes.some((outcome) => outcome !== 'done')) return false;
     return port.arePrepared(epoch, version, giveUpAt);
   };
 
-  /** Lets a pass begin that is or may be held and for which no rank was armed. */
-  const release = async (epoch: number, step: number, why: string): Promise<void> => {
-    const own = await port.report(ownRank);
-    const isHeld = own?.epoch === epoch && own.held === step;
-    log.event('pass-released', { epoch, step, isHeld, why });
-    if (isHeld) await letGo(epoch, step);
+  /** Releases a pass that is or may be held and for which no rank was armed. */
+  const releaseIfHeld = async (epoch: number, step: number, reason: string): Promise<void> => {
+    const ownReport = await port.report(ownRank);
+    const isHeld = ownReport?.epoch === epoch && ownReport.held === step;
+    log.event('pass-released', { epoch, step, isHeld, why: reason });
+    if (isHeld) await sendGo(epoch, step);
   };
 
-  const isEveryRankThere = async ({ epoch, version }: MapChange): Promise<boolean> => {
-    await sleep(clock, STILL_THERE_MS);
+  const areAllRanksPrepared = async ({ epoch, version }: MapChange): Promise<boolean> => {
+    await sleep(clock, LIVENESS_CHECK_DELAY_MS);
     const reports = await freshReports(port, epoch);
     return reports?.every(({ prepared }) => prepared === version) ?? false;
   };
 
-  /** Holds a pass that has not begun; undefined when it can't be done. */
-  const holdAhead = async (epoch: number): Promise<HeldPass | undefined> => {
-    for (let tries = 0; tries < HOLD_TRIES; tries += 1) {
+  /** Holds a pass that has not begun; undefined when that fails. */
+  const holdUpcomingPass = async (epoch: number): Promise<HeldPass | undefined> => {
+    for (let attempt = 0; attempt < MAX_HOLD_ATTEMPTS; attempt += 1) {
       const report = await port.report(ownRank);
       const countedAt = clock.monotonic();
       if (!report || report.epoch !== epoch || report.held !== undefined) return undefined;
-      const passMs = options.passMs() ?? USUAL_PASS_MS;
-      const lead = arming.lead({ passMs, orderMs, targetMs: options.targetMs });
-      const step = heldStep(epoch, report.step + lead);
-      const outcome = await giveHold(epoch, step);
-      if (outcome === 'done') return { step, countedAt, lead, passMs };
-      if (outcome === 'no-answer') await release(epoch, step, 'hold-unanswered');
+      const passMs = options.passMs() ?? DEFAULT_PASS_MS;
+      const passesAhead = arming.passesAhead({ passMs, orderMs, targetMs: options.targetMs });
+      const step = allocateHoldStep(epoch, report.step + passesAhead);
+      const outcome = await sendHold(epoch, step);
+      if (outcome === 'done') return { step, countedAt, passesAhead, passMs };
+      if (outcome === 'no-answer') await releaseIfHeld(epoch, step, 'hold-unanswered');
       if (outcome !== 'refused') return undefined;
     }
     return undefined;
   };
 
-  /** Gives a change up whose pass is held, and lets the pass begin with the map in use. */
+  /** Aborts a change whose pass is held, and releases the pass with the map in use. */
   const abort = async (change: MapChange, step: number): Promise<SwitchOutcome> => {
     const { epoch, current } = change;
-    while (!isAnew(epoch)) {
-      if (await withdrawPass({ epoch, step, current }, options)) {
-        await letGo(epoch, step);
+    while (!hasReformed(epoch)) {
+      if (await abortHeldPass({ epoch, step, current }, options)) {
+        await sendGo(epoch, step);
         return 'aborted';
       }
-      await sleep(clock, WITHDRAW_AGAIN_MS);
+      await sleep(clock, ABORT_RETRY_DELAY_MS);
     }
     return 'group-formed-anew';
   };
@@ -178,14 +197,14 @@
   const armAndGo = async (change: MapChange, step: number): Promise<SwitchOutcome> => {
     const { epoch, version } = change;
     const armed = await retryAtAllRanks(port, clock, { op: 'arm', epoch, version, step });
-    if (isAnew(epoch)) return 'group-formed-anew';
+    if (hasReformed(epoch)) return 'group-formed-anew';
     if (armed.every((outcome) => outcome === 'done')) {
-      await letGo(epoch, step);
+      await sendGo(epoch, step);
       return 'switched';
     }
-    const own = await port.report(ownRank);
-    // Somebody else has armed the rest and let the pass begin: the change is made.
-    if (own?.epoch === epoch && own.map === version) return 'switched';
+    const ownReport = await port.report(ownRank);
+    // Another coordinator has armed the remaining ranks and released the pass: the change is made.
+    if (ownReport?.epoch === epoch && ownReport.map === version) return 'switched';
     return abort(change, step);
   };
 
@@ -194,22 +213,22 @@
     const elapsed = (): number => Math.round(clock.monotonic() - startedAt);
     const { epoch, version } = change;
     const isReady = await prepareAll(change);
-    if (isAnew(epoch)) return 'group-formed-anew';
+    if (hasReformed(epoch)) return 'group-formed-anew';
     if (!isReady) return 'not-prepared';
     const preparedMs = elapsed();
-    const held = await holdAhead(epoch);
+    const held = await holdUpcomingPass(epoch);
     if (!held) return 'not-held';
-    const { step, countedAt, lead } = held;
+    const { step, countedAt, passesAhead } = held;
     const passMs = Math.round(held.passMs);
     const heldMs = elapsed();
-    if (!(await isEveryRankThere(change))) {
-      await release(epoch, step, 'rank-silent');
+    if (!(await areAllRanksPrepared(change))) {
+      await releaseIfHeld(epoch, step, 'rank-silent');
       return 'rank-silent';
     }
     const outcome = await armAndGo(change, step);
-    // From the report on, passes go by, also while the hold is on its way.
-    if (outcome === 'switched') arming.note(clock.monotonic() - countedAt);
-    const times = { preparedMs, heldMs, ms: elapsed(), lead, passMs };
+    // Measured from the report because passes begin while the hold is in flight, too.
+    if (outcome === 'switched') arming.record(clock.monotonic() - countedAt);
+    const times = { preparedMs, heldMs, ms: elapsed(), lead: passesAhead, passMs };
     log.event('map-switch', { epoch, version, step, outcome, ...times });
     return outcome;
   };
--- a/packages/rank-groups/src/change/versions.ts
+++ b/packages/rank-groups/src/change/versions.ts
@@ -1,17 +1,20 @@
 import type { Random } from '@plantaindrum/common';
 import type { RankReport } from '../types.js';
 
-/** Versions that two coordinators might choose at the same time differ in these low bits. */
-const SPREAD = 65_536;
+/**
+ * Range of the random low part of a version, in which versions chosen by two coordinators at the
+ * same time differ.
+ */
+const RANDOM_RANGE = 65_536;
 
-/** The highest version that a report shows. */
-export const versionsOf = ({ map, prepared, armed }: RankReport): number =>
+/** Returns the highest version that a report shows. */
+export const highestVersionOf = ({ map, prepared, armed }: RankReport): number =>
   Math.max(map, prepared ?? 0, armed?.version ?? 0);
 
 /**
- * A version above all that are known. Ranks don't compare the content of maps, so a number that two
- * coordinators gave to different maps would let ranks switch to both; the random part keeps numbers
- * of coordinators that don't know of each other apart.
+ * Returns a version above all known ones. Ranks don't compare the content of maps, so a version
+ * that two coordinators gave to different maps would let ranks switch to both. The random part
+ * keeps versions of coordinators that don't know of each other apart.
  */
 export const nextVersion = (highest: number, random: Random): number =>
-  (Math.floor(highest / SPREAD) + 1) * SPREAD + Math.floor(random() * SPREAD);
+  (Math.floor(highest / RANDOM_RANGE) + 1) * RANDOM_RANGE + Math.floor(random() * RANDOM_RANGE);
--- a/packages/rank-groups/src/coordinator.ts
+++ b/packages/rank-groups/src/coordinator.ts
@@ -1,14 +1,14 @@
-/** Balances one group: notices what is popular, plans a map, and makes the change. */
+/** Balances one group: follows the experts' load, plans a new map and makes the change. */
 
 import type { Clock, EventLog, Metrics, Random } from '@plantaindrum/common';
 import { sleep } from '@plantaindrum/common';
 import { allRanks } from './change/group-port.js';
-import { settleHeldPass } from './change/settle.js';
+import { resolveHeldPass } from './change/settle.js';
 import { createMapSwitch } from './change/switch-map.js';
 import type { SwitchOptions as MapSwitchOptions } from './change/switch-map.js';
 import { nextVersion } from './change/versions.js';
-import { createKnownReports } from './known-reports.js';
-import { createObstacles } from './obstacles.js';
+import { createLatestReports } from './known-reports.js';
+import { createBlockerLog } from './obstacles.js';
 import { createMapReader } from './map-reader.js';
 import { planChange } from './plan/plan.js';
 import type { MapPlan } from './plan/plan.js';
@@ -17,37 +17,42 @@
 import type { CoordinatorPort } from './tree/rank-port.js';
 import type { GroupShape, Placement, RankReport, Weighs } from './types.js';
 
-/** What a coordinator is told of a rank. */
+/** What a coordinator receives from a rank. */
 export interface RankUpdate {
   report: RankReport;
-  /** Picks of each expert since the last update. */
+  /** Selection counts of each expert since the last update. */
   picks: number[];
 }
 
-/** The part of an agent that coordinates its group while no lower rank does. */
+/** Directs a group's map changes while this agent's rank is the lowest linked one. */
 export interface Coordinator {
-  /** Takes the update of a rank. */
+  /** Handles the report and selection counts of a rank. */
   onUpdate(update: RankUpdate): void;
-  /** Takes picks that ranks have summed on the way. */
-  onPicks(picks: readonly number[]): void;
+  /** Handles selection counts that relays have summed over several ranks. */
+  onSelectionCounts(selectionCounts: readonly number[]): void;
   close(): void;
 }
 
 /** Options of `createCoordinator`. */
 export interface CoordinatorOptions {
-  port: Omit<CoordinatorPort, 'news' | 'passOnNodes'>;
+  port: Omit<CoordinatorPort, 'telemetry' | 'forwardNodes'>;
   ownRank: number;
   shape: GroupShape;
   weighs: Weighs;
-  /** Whether this agent is the one to coordinate. */
+  /** Whether this agent coordinates. */
   isLowest: () => boolean;
-  /** Resolves once it is; at once while it is. */
+  /** Resolves once this agent coordinates; immediately if it already does. */
   untilLowest: () => Promise<void>;
-  /** A map that this agent has been told or has planned; it need not be read from the ranks. */
+  /**
+   * Returns a map that this agent has received or planned, which need not be read from the ranks.
+   */
   knownPlacement: (epoch: number, version: number) => Placement | undefined;
-  /** How long apart ranks tell their news, in ms. */
+  /** Time between two telemetry polls of the ranks, in ms. */
   newsEveryMs: () => number;
-  /** Gives an order to the own rank from another VM; undefined when no other agent is linked. */
+  /**
+   * Sends an order to the local rank through an agent on another VM; undefined when no other agent
+   * is linked.
+   */
   orderOwnFromAfar: MapSwitchOptions['orderOwnFromAfar'];
   clock: Clock;
   random: Random;
@@ -55,135 +60,147 @@
   log: EventLog;
 }
 
-/** Between two looks at the group, in ms. */
-const LOOK_MS = 40;
-/** News that is older by this than the usual says nothing about a rank, in ms: six readings. */
-const REPORT_VALID_MS = 500;
-/** A pass that has been held this long by nobody at work here is settled, in ms: some ten orders. */
-const HELD_MS = 250;
-/** Pause after a change that did not come about, in ms. */
-const FAILED_MS = 200;
-/** Reports that show another map this long after a change show that somebody else made one, in ms. */
-const FOREIGN_MS = 1_000;
+/** Time between two checks of the group, in ms. */
+const POLL_INTERVAL_MS = 40;
 /**
- * Time for agents to link up with a new coordinator, in ms. All agents of a group that starts are
- * the lowest for a moment, and each would ask every engine.
+ * A report is stale when its age exceeds two telemetry intervals by this, in ms: six engine
+ * readings.
  */
-const LINKING_MS = 1_000;
-/** A group that has begun no pass for this long is idle and is left alone, in ms. */
-const IDLE_MS = 600;
+const MAX_REPORT_AGE_MS = 500;
+/**
+ * A pass held for this long, while this coordinator makes no change, is resolved, in ms: about ten
+ * orders.
+ */
+const HELD_PASS_TIMEOUT_MS = 250;
+/** Pause after a failed change, in ms. */
+const FAILED_CHANGE_DELAY_MS = 200;
+/**
+ * Reports may still show the previous map for this long after a switch, in ms. Another map after
+ * that means that another coordinator has made a change.
+ */
+const SWITCH_REPORT_DELAY_MS = 1_000;
+/**
+ * Time for agents to link to a new coordinator, in ms. While a group starts, every agent is briefly
+ * the lowest that it knows of, and each would query every engine.
+ */
+const LINKING_PERIOD_MS = 1_000;
+/** A group that has begun no pass for this long is idle, and no change is planned for it, in ms. */
+const IDLE_AFTER_MS = 600;
 
 /**
- * Rest after planning that found nothing, in times of what it took: planning for 72 ranks and 1,728
- * experts takes 20 ms of a whole core, and every look would plan again.
+ * Pause after a plan that found no change, as a multiple of the time that the plan took: planning
+ * for 72 ranks and 1,728 experts takes 20 ms of a whole core and would otherwise run at every
+ * check.
  */
-const REST_PER_PLANNING = 8;
+const REPLAN_DELAY_FACTOR = 8;
 
 /**
- * Most time of one plan, in ms. Ranks wait with the uneven map meanwhile, and this agent answers nobody; what is left
- * comes with the next change.
+ * Maximum time of one plan, in ms. The agent answers no messages meanwhile, and the ranks keep the
+ * uneven map; improvements that were not planned come with the next change.
  */
-const PLANNING_MS = 100;
+const MAX_PLANNING_MS = 100;
 
-/** Part of the time between news that makes a piece of counts: timers fire early and late. */
-const PIECE_SHARE = 0.7;
+/**
+ * Sample time as a fraction of the telemetry interval; below 1 because timers fire early and late.
+ */
+const SAMPLE_TIME_FACTOR = 0.7;
 /** Starts to coordinate; runs until `close`. */
 export const createCoordinator = (options: CoordinatorOptions): Coordinator => {
   const { port, shape, clock, random, metrics, log } = options;
-  const known = createKnownReports(clock);
+  const latestReports = createLatestReports(clock);
   const popularity: Popularity = createPopularity({
     sets: shape.sets,
     experts: shape.experts,
     ranks: port.size,
-    pieceMs: () => options.newsEveryMs() * PIECE_SHARE,
+    sampleMs: () => options.newsEveryMs() * SAMPLE_TIME_FACTOR,
     clock,
   });
   let stopped = false;
   let wasLowest = false;
-  let leadSince = -Infinity;
+  let coordinatingSince = -Infinity;
   let placement: Placement | undefined;
-  let placedEpoch = -1;
-  let placedVersion = -1;
-  let planned = 0;
-  let planAgainAt = -Infinity;
-  /** Time that the last plan took, in ms. */
+  let mapEpoch = -1;
+  let mapVersion = -1;
+  let lastPlannedVersion = 0;
+  let nextPlanAt = -Infinity;
+  /** Duration of the last plan, in ms. */
   let planningMs = 0;
   let heldSince: number | undefined;
   let switchedAt = -Infinity;
 
   const switchMap = createMapSwitch({
     ...options,
-    passMs: known.passes.passMs,
+    passMs: latestReports.passes.passMs,
     targetMs: shape.targetPauseMs,
   });
   const mapReader = createMapReader({
-    known: options.knownPlacement,
+    cachedPlacement: options.knownPlacement,
     placements: port.placements,
     log,
   });
-  // All agents of a group that starts coordinate for a moment, and each knows but few ranks.
-  const isLinking = (): boolean => clock.monotonic() - leadSince < LINKING_MS;
-  const noteObstacle = createObstacles(isLinking, clock, log);
+  // While a group starts, each agent coordinates briefly and knows only a few ranks.
+  const isLinking = (): boolean => clock.monotonic() - coordinatingSince < LINKING_PERIOD_MS;
+  const recordBlocker = createBlockerLog(isLinking, clock, log);
 
   const onUpdate = ({ report, picks }: RankUpdate): void => {
-    known.note(report);
+    latestReports.record(report);
     if (picks.length > 0) popularity.add(picks);
   };
 
-  const validMs = (): number => REPORT_VALID_MS + 2 * options.newsEveryMs();
+  const maxReportAgeMs = (): number => MAX_REPORT_AGE_MS + 2 * options.newsEveryMs();
 
-  /** Ranks whose agents are silent are read from here: their counts are missed, not their state. */
-  const readSilent = async (): Promise<void> => {
+  /** Reads the state of ranks whose agents are silent; their selection counts stay unknown. */
+  const readSilentRanks = async (): Promise<void> => {
     if (isLinking()) return;
-    const silent = known.olderThan(allRanks(port), validMs());
+    const silent = latestReports.olderThan(allRanks(port), maxReportAgeMs());
     if (silent.length === 0) return;
     (await port.reports(silent)).forEach((report) => onUpdate({ report, picks: [] }));
   };
 
-  const openReports = (): RankReport[] | undefined => {
+  const reportsOfOpenGroup = (): RankReport[] | undefined => {
     const ranks = allRanks(port);
-    const silent = known.olderThan(ranks, 2 * validMs());
+    const silent = latestReports.olderThan(ranks, 2 * maxReportAgeMs());
     const [first] = silent;
     if (first !== undefined || ranks.length === 0) {
-      noteObstacle('ranks-silent', { silent: silent.length, ranks: ranks.length, first });
+      recordBlocker('ranks-silent', { silent: silent.length, ranks: ranks.length, first });
       return undefined;
     }
-    const reports = ranks.flatMap((rank) => known.of(rank) ?? []);
+    const reports = ranks.flatMap((rank) => latestReports.get(rank) ?? []);
     const closed = reports.filter(({ isOpen, epoch }) => !isOpen || epoch !== port.epoch());
     if (closed.length > 0) {
-      noteObstacle('group-closed', { closed: closed.length, epoch: port.epoch() });
+      recordBlocker('group-closed', { closed: closed.length, epoch: port.epoch() });
       return undefined;
     }
     return reports;
   };
 
   const loadPlacement = async (epoch: number): Promise<void> => {
-    const version = known.of(options.ownRank)?.map;
+    const version = latestReports.get(options.ownRank)?.map;
     if (version === undefined) return;
     placement = await mapReader.read(epoch, version, allRanks(port));
     if (!placement) {
-      noteObstacle('map-unknown', { epoch, version });
+      recordBlocker('map-unknown', { epoch, version });
       return;
     }
-    placedEpoch = epoch;
-    placedVersion = version;
+    mapEpoch = epoch;
+    mapVersion = version;
     port.noteMapInUse(epoch, version, placement);
     log.event('map-known', { epoch, version });
   };
 
-  const settleIfHeld = async (reports: readonly RankReport[], epoch: number): Promise<boolean> => {
-    // A pass that has begun is not held any more, though the report of a far rank may still say so.
-    const begun = Math.max(...reports.map(({ step }) => step));
-    const isHeld = reports.some(({ held }) => held !== undefined && held > begun);
+  const resolveIfHeld = async (reports: readonly RankReport[], epoch: number): Promise<boolean> => {
+    // A pass that has begun is no longer held, though the report of another rank may still say so.
+    const latestStep = Math.max(...reports.map(({ step }) => step));
+    const isHeld = reports.some(({ held }) => held !== undefined && held > latestStep);
     const now = clock.monotonic();
     heldSince = isHeld ? (heldSince ?? now) : undefined;
     if (heldSince === undefined) return false;
-    if (now - heldSince < HELD_MS) return true;
+    if (now - heldSince < HELD_PASS_TIMEOUT_MS) return true;
     const mapInUse = async (): Promise<Placement | undefined> => {
       if (!placement) await loadPlacement(epoch);
       return placement;
     };
-    const outcome = await settleHeldPass(epoch, mapInUse, { port, clock, random, log });
+    const outcome = await resolveHeldPass(epoch, mapInUse, { port, clock, random, log });
     metrics.count('rank_settled', { outcome });
     log.event('settled', { epoch, outcome });
     heldSince = undefined;
@@ -191,11 +208,14 @@
     return true;
   };
 
-  const change = async (plan: MapPlan, epoch: number, current: Placement): Promise<void> => {
-    const version = nextVersion(Math.max(planned, known.highestVersion()), random);
-    planned = version;
-    const { before, after, copies, mostCopies } = plan;
-    const slowest = Math.max(...allRanks(port).map((rank) => known.of(rank)?.pace ?? 1));
+  const changeMap = async (plan: MapPlan, epoch: number, current: Placement): Promise<void> => {
+    const version = nextVersion(
+      Math.max(lastPlannedVersion, latestReports.highestVersion()),
+      random,
+    );
+    lastPlannedVersion = version;
+    const { before, after, copies, maxCopiesPerRank } = plan;
+    const slowest = Math.max(...allRanks(port).map((rank) => latestReports.get(rank)?.pace ?? 1));
     const newsMs = Math.round(options.newsEveryMs());
     log.event('map-planned', {
       epoch,
@@ -207,78 +227,79 @@
       planningMs,
       newsMs,
     });
-    const copyMs = mostCopies * shape.copyMs;
+    const copyMs = maxCopiesPerRank * shape.copyMs;
     const outcome = await switchMap({ epoch, version, placement: plan.placement, current, copyMs });
-    // The last report of the own rank may be of the time in which it held the pass.
-    const own = await port.report(options.ownRank);
-    if (own) onUpdate({ report: own, picks: [] });
+    // The last report of the local rank may date from when it held the pass.
+    const ownReport = await port.report(options.ownRank);
+    if (ownReport) onUpdate({ report: ownReport, picks: [] });
     metrics.count('rank_map_changes', { outcome });
     metrics.count('rank_experts_copied', {}, copies);
     if (outcome === 'switched') {
       placement = plan.placement;
-      placedVersion = version;
+      mapVersion = version;
       switchedAt = clock.monotonic();
       port.noteMapInUse(epoch, version, placement);
       return;
     }
     log.event('map-not-changed', { epoch, version, outcome });
     placement = undefined;
-    await sleep(clock, FAILED_MS);
+    await sleep(clock, FAILED_CHANGE_DELAY_MS);
   };
 
   const planNow = (
     current: Placement,
     shares: readonly (readonly number[])[],
-    paces: readonly number[],
+    slowdowns: readonly number[],
   ): MapPlan | undefined => {
-    const began = clock.monotonic();
-    const mayGoOn = (): boolean => clock.monotonic() - began < PLANNING_MS;
-    const plan = planChange(current, shares, shape, options.weighs, paces, mayGoOn);
+    const startedAt = clock.monotonic();
+    const mayContinue = (): boolean => clock.monotonic() - startedAt < MAX_PLANNING_MS;
+    const plan = planChange(current, shares, shape, options.weighs, slowdowns, mayContinue);
     const now = clock.monotonic();
-    planningMs = Math.round(now - began);
-    if (!plan) planAgainAt = now + planningMs * REST_PER_PLANNING;
+    planningMs = Math.round(now - startedAt);
+    if (!plan) nextPlanAt = now + planningMs * REPLAN_DELAY_FACTOR;
     return plan;
   };
 
-  const look = async (): Promise<void> => {
-    await readSilent();
-    const reports = openReports();
+  const checkGroup = async (): Promise<void> => {
+    await readSilentRanks();
+    const reports = reportsOfOpenGroup();
     const epoch = port.epoch();
     if (!reports) return;
-    if (placedEpoch !== epoch) placement = undefined;
-    // All ranks begin each pass together, so the one at hand, whose report is newest, tells their map.
-    const isOther = known.of(options.ownRank)?.map !== placedVersion;
-    const isForeign = clock.monotonic() - switchedAt > FOREIGN_MS;
-    if (isForeign && isOther) placement = undefined;
-    if (await settleIfHeld(reports, epoch)) {
-      noteObstacle('pass-held', { epoch });
+    if (mapEpoch !== epoch) placement = undefined;
+    // All ranks begin each pass together, so the local rank, whose report is the latest, shows the
+    // map of all.
+    const hasOtherMap = latestReports.get(options.ownRank)?.map !== mapVersion;
+    const areReportsCurrent = clock.monotonic() - switchedAt > SWITCH_REPORT_DELAY_MS;
+    if (areReportsCurrent && hasOtherMap) placement = undefined;
+    if (await resolveIfHeld(reports, epoch)) {
+      recordBlocker('pass-held', { epoch });
       return;
     }
     if (!placement) {
       await loadPlacement(epoch);
       return;
     }
-    const isIdle = known.passes.sinceLast() > IDLE_MS;
-    // A rank that is armed takes no preparation: the last change waits for its pass.
-    noteObstacle(isOther ? 'change-under-way' : undefined, { epoch });
+    const isIdle = latestReports.passes.msSinceLast() > IDLE_AFTER_MS;
+    // An armed rank refuses to prepare another map until the pass of the previous change has begun.
+    recordBlocker(hasOtherMap ? 'change-under-way' : undefined, { epoch });
     const shares = popularity.shares();
-    if (isIdle || isOther || !shares || clock.monotonic() < planAgainAt) return;
-    const paces = reports.map(({ pace }) => pace);
-    const plan = planNow(placement, shares, paces);
-    if (plan) await change(plan, epoch, placement);
+    if (isIdle || hasOtherMap || !shares || clock.monotonic() < nextPlanAt) return;
+    const slowdowns = reports.map(({ pace }) => pace);
+    const plan = planNow(placement, shares, slowdowns);
+    if (plan) await changeMap(plan, epoch, placement);
   };
 
   const run = async (): Promise<void> => {
     while (!stopped) {
-      await sleep(clock, LOOK_MS);
+      await sleep(clock, POLL_INTERVAL_MS);
       const isLowest = options.isLowest();
-      if (isLowest !== wasLowest) log.event('coordinating', { isLowest, version: placedVersion });
+      if (isLowest !== wasLowest) log.event('coordinating', { isLowest, version: mapVersion });
       if (isLowest && !wasLowest) {
         placement = undefined;
-        leadSince = clock.monotonic();
+        coordinatingSince = clock.monotonic();
       }
       wasLowest = isLowest;
-      if (isLowest && !stopped) await look();
+      if (isLowest && !stopped) await checkGroup();
       if (!isLowest) await options.untilLowest();
     }
   };
@@ -286,7 +307,7 @@
 
   return {
     onUpdate,
-    onPicks: popularity.add,
+    onSelectionCounts: popularity.add,
     close: () => {
       stopped = true;
     },
--- a/packages/rank-groups/src/links/group-shape.ts
+++ b/packages/rank-groups/src/links/group-shape.ts
@@ -1,8 +1,11 @@
 /**
- * Where an agent learns its group's shape. The pattern: all agents of a group start together and need the same few
- * numbers, which only the one that coordinates uses; each would ask the platform for them until the operators have
- * written them, and each call is paid for. So those that coordinate next read them, and the others ask over their
- * links; only where nobody below is linked they read for themselves.
+ * Source of an agent's group shape.
+ *
+ * All agents of a group start together and need the same few numbers, which only the coordinator
+ * uses. If each requested them from the platform until the operators have written them, each of
+ * these billed calls would be repeated by every agent. So only agents that may coordinate next read
+ * the platform. The others request the shape over their links, and read the platform only while no
+ * lower rank is linked.
  */
 
 import { isNumber, isObject, sleep } from '@plantaindrum/common';
@@ -10,29 +13,37 @@
 import type { GroupShape } from '../types.js';
 
 /** Options of `awaitShape`. */
-export interface ShapeSources {
-  /** Reads it from the platform; undefined while it isn't known there. */
+export interface AwaitShapeOptions {
+  /** Reads the shape from the platform; undefined while it isn't known there. */
   read: () => Promise<GroupShape | undefined>;
-  /** Asks the lowest linked agent; undefined where it doesn't know, or none is linked. */
-  ask: () => Promise<GroupShape | undefined>;
+  /**
+   * Requests the shape from the lowest linked agent; undefined when that doesn't know it, or none
+   * is linked.
+   */
+  request: () => Promise<GroupShape | undefined>;
   rank: number;
   isLowest: () => boolean;
   isStopped: () => boolean;
   clock: Clock;
 }
 
-/** Lowest ranks that read for themselves: the one that coordinates and those that may have to next. */
-const READING_RANKS = 4;
-/** Pause between two tries, in ms; each reading is paid for. */
-const AGAIN_MS = 1_500;
-/** Time for links to come about, in ms: until then each agent is the lowest that it knows of. */
-const LINKING_MS = 2_000;
+/**
+ * Number of lowest ranks whose agents read the platform: the coordinator and those that may
+ * coordinate next.
+ */
+const MAX_READING_RANKS = 4;
+/** Pause between two attempts, in ms; each call to the platform is billed. */
+const RETRY_DELAY_MS = 1_500;
+/**
+ * Time for links to be established, in ms: until then each agent is the lowest that it knows of.
+ */
+const LINKING_PERIOD_MS = 2_000;
 
-/** Whether the agent of a rank coordinates, or is one of those that may have to next. */
-export const coordinatesSoon = (rank: number): boolean => rank < READING_RANKS;
+/** Whether the agent of a rank coordinates or may coordinate next. */
+export const mayCoordinateNext = (rank: number): boolean => rank < MAX_READING_RANKS;
 
-/** Reads a shape that another agent tells; undefined when it isn't one. */
-export const readToldShape = (value: unknown): GroupShape | undefined => {
+/** Validates a shape received from another agent; undefined when it is invalid. */
+export const readShape = (value: unknown): GroupShape | undefined => {
   if (!isObject(value)) return undefined;
   const { sets, experts, places, spare, copyMs, targetPauseMs } = value;
   if (!isNumber(sets) || !isNumber(experts) || !isNumber(places)) return undefined;
@@ -41,16 +52,18 @@
   return { sets, experts, places, spare, copyMs, targetPauseMs: pause };
 };
 
-/** Resolves with the shape of a group that has experts; undefined when the agent stops before. */
-export const awaitShape = async (sources: ShapeSources): Promise<GroupShape | undefined> => {
-  const { read, ask, rank, isLowest, isStopped, clock } = sources;
-  const began = clock.monotonic();
+/**
+ * Resolves with the shape of a group that has experts; undefined when the agent stops before that.
+ */
+export const awaitShape = async (sources: AwaitShapeOptions): Promise<GroupShape | undefined> => {
+  const { read, request, rank, isLowest, isStopped, clock } = sources;
+  const startedAt = clock.monotonic();
   while (!isStopped()) {
-    const isLinking = clock.monotonic() - began < LINKING_MS;
-    const readsItself = coordinatesSoon(rank) || (isLowest() && !isLinking);
-    const shape = readsItself ? await read() : await ask();
+    const isLinking = clock.monotonic() - startedAt < LINKING_PERIOD_MS;
+    const readsFromPlatform = mayCoordinateNext(rank) || (isLowest() && !isLinking);
+    const shape = readsFromPlatform ? await read() : await request();
     if (shape && shape.sets > 0) return shape;
-    await sleep(clock, AGAIN_MS);
+    await sleep(clock, RETRY_DELAY_MS);
   }
   return undefined;
 };
--- a/packages/rank-groups/src/links/heartbeat-pace.ts
+++ b/packages/rank-groups/src/links/heartbeat-pace.ts
@@ -1,38 +1,44 @@
 /**
- * How often two agents of a group show each other that they live. The pattern: each agent keeps links to the lowest
- * ranks, so that any of them may coordinate, and beats on all of them take more of its time than its own work. Who
- * has to notice a loss soon are the coordinator and its group, those that may coordinate next, and those that pass
- * calls on to one another; a spare link that is found dead some seconds later has harmed nobody.
+ * Heartbeat interval between two agents of a group.
+ *
+ * Each agent keeps links to the lowest ranks, so that any of these can coordinate, and frequent
+ * heartbeats on all links would take more of an agent's time than its other work. A loss has to be
+ * detected soon by the coordinator and its group, by agents that may coordinate next, and by agents
+ * that relay calls for each other. On a spare link a loss may be detected some seconds later
+ * without harm.
  */
 
-/** What the pace between two agents depends on. */
-export interface HeartbeatView {
+/** Inputs of the heartbeat interval between two agents. */
+export interface PeerHeartbeatContext {
   own: number;
   /** The peer's rank; undefined while it isn't known. */
   peer: number | undefined;
-  /** The lowest rank that is linked here. */
+  /** The lowest rank that is linked to this agent. */
   lowestLinked: number;
-  /** The peer passes calls on to this rank or takes them from it, or this rank may coordinate next. */
-  isWatched: boolean;
-  /** Ranks of the group, as far as is known. */
+  /** Whether one of the two relays calls to the other, or this rank may coordinate next. */
+  needsFastDetection: boolean;
+  /** Number of ranks of the group, as far as it is known. */
   groupSize: number;
 }
 
-/** Heartbeats where a loss has to be noticed soon, in ms: one of a VM that froze is in about a second. */
-export const HEARTBEAT_MS = 300;
 /**
- * Ranks up to which the coordinator's links have that heartbeat. Each rank has a link to it: at 192, beats and their
- * answers at this pace are a tenth of its link's bytes. Beyond, beats are as much rarer.
+ * Interval where a loss has to be detected soon, in ms; a frozen VM is detected in about a second.
  */
-const RANKS_AT_FULL_PACE = 64;
-/** Heartbeats of a spare link, in those of the coordinator's. */
-const SPARE_LINK = 3;
+export const HEARTBEAT_INTERVAL_MS = 300;
+/**
+ * Group size up to which the coordinator's links use that interval. Each rank has a link to the
+ * coordinator: at 192 ranks, heartbeats and their answers at this rate take a tenth of the link's
+ * bytes. In larger groups the interval grows in proportion.
+ */
+const MAX_RANKS_AT_FULL_RATE = 64;
+/** Interval of a spare link, as a multiple of that of the coordinator's links. */
+const SPARE_LINK_FACTOR = 3;
 
-/** Time between heartbeats to a peer, in ms. */
-export const heartbeatMsWith = (view: HeartbeatView): number => {
-  const { own, peer, lowestLinked, isWatched, groupSize } = view;
-  if (peer === undefined || isWatched) return HEARTBEAT_MS;
-  const ofMany = HEARTBEAT_MS * Math.max(1, groupSize / RANKS_AT_FULL_PACE);
-  const isWithCoordinator = peer < own ? peer === lowestLinked : own < lowestLinked;
-  return isWithCoordinator ? ofMany : ofMany * SPARE_LINK;
+/** Returns the time between heartbeats to a peer, in ms. */
+export const heartbeatIntervalMs = (view: PeerHeartbeatContext): number => {
+  const { own, peer, lowestLinked, needsFastDetection, groupSize } = view;
+  if (peer === undefined || needsFastDetection) return HEARTBEAT_INTERVAL_MS;
+  const coordinatorLinkMs = HEARTBEAT_INTERVAL_MS * Math.max(1, groupSize / MAX_RANKS_AT_FULL_RATE);
+  const involvesCoordinator = peer < own ? peer === lowestLinked : own < lowestLinked;
+  return involvesCoordinator ? coordinatorLinkMs : coordinatorLinkMs * SPARE_LINK_FACTOR;
 };
--- a/packages/rank-groups/src/links/identity.ts
+++ b/packages/rank-groups/src/links/identity.ts
@@ -1,7 +1,7 @@
 import type { LinkOptions } from '@plantaindrum/link';
 import type { NodeRecord } from '@plantaindrum/mirror';
 
-/** How an agent introduces itself on links. */
+/** Returns the identity that an agent presents on its links. */
 export const agentIdentity = (
   { node, instance, dataCentre }: NodeRecord,
   region: string,
--- a/packages/rank-groups/src/links/lead.ts
+++ b/packages/rank-groups/src/links/lead.ts
@@ -1,31 +1,34 @@
-/** Wakes those that wait to coordinate by the change of a link, so that agents that don't stay asleep. */
+/**
+ * Tells whether this agent coordinates. Waiting for that is driven by link changes, so that agents
+ * that don't coordinate arm no timers.
+ */
 
-/** Whether this agent is the lowest of its group. */
-export interface Lead {
+/** Whether this agent has the lowest linked rank of its group, and so coordinates it. */
+export interface CoordinatorRole {
   isLowest(): boolean;
-  /** Resolves once this agent is the lowest; at once while it is. */
-  untilLowest(): Promise<void>;
-  /** Looks again after links or ranks have changed. */
-  noteChange(): void;
+  /** Resolves once this agent is the lowest; immediately if it already is. */
+  whenLowest(): Promise<void>;
+  /** Re-evaluates the role after links or ranks have changed. */
+  handleChange(): void;
 }
 
-/** Creates the view over what the links show now. */
-export const createLead = (isLowest: () => boolean): Lead => {
+/** Creates the role; `isLowest` evaluates the current links. */
+export const createCoordinatorRole = (isLowest: () => boolean): CoordinatorRole => {
   let waiting: (() => void)[] = [];
 
   return {
     isLowest,
-    untilLowest: () =>
+    whenLowest: () =>
       isLowest()
         ? Promise.resolve()
         : new Promise((resolve) => {
             waiting.push(resolve);
           }),
-    noteChange: () => {
+    handleChange: () => {
       if (waiting.length === 0 || !isLowest()) return;
-      const woken = waiting;
+      const resolvers = waiting;
       waiting = [];
-      woken.forEach((resume) => resume());
+      resolvers.forEach((resume) => resume());
     },
   };
 };
--- a/packages/rank-groups/src/links/news-reader.ts
+++ b/packages/rank-groups/src/links/news-reader.ts
@@ -1,73 +1,80 @@
 /**
- * Reads what all ranks have to tell, while this agent coordinates. The pattern: when every rank tells its
- * reports and counts by itself, what reaches the coordinator grows with the group until its link is full,
- * and nothing of it arrives in time. Asked for along the tree, counts are summed on the way, and the
- * next question waits until the last answer is in: how often it is asked follows from what it takes.
+ * Polls the telemetry of all ranks while this agent coordinates.
+ *
+ * If every rank sent its reports and counts by itself, the messages to the coordinator would grow
+ * with the group until its link is full and none arrives in time. Polled along the tree, counts are
+ * summed on the way, and the next poll waits for the answers of the last one, so the interval
+ * follows the time that a poll takes.
  */
 
 import { sleep } from '@plantaindrum/common';
 import type { Clock } from '@plantaindrum/common';
-import type { GatheredNews } from '../tree/rank-port.js';
+import type { GroupTelemetry } from '../tree/rank-port.js';
 import type { RankReport } from '../types.js';
 
-/** The reader. */
-export interface NewsReader {
-  /** How long apart news are now, in ms. */
-  everyMs(): number;
+/** Polls telemetry until it is closed. */
+export interface TelemetryPoller {
+  /** Current time between two polls, in ms. */
+  intervalMs(): number;
   close(): void;
 }
 
 /** Options of `createNewsReader`. */
-export interface NewsReaderOptions {
-  /** Resolves once this agent coordinates; at once while it does. */
-  untilCoordinating: () => Promise<void>;
-  news: () => Promise<GatheredNews>;
+export interface TelemetryPollerOptions {
+  /** Resolves once this agent coordinates; immediately if it already does. */
+  whenCoordinating: () => Promise<void>;
+  queryTelemetry: () => Promise<GroupTelemetry>;
   onReport: (report: RankReport) => void;
-  onPicks: (picks: readonly number[]) => void;
+  onSelectionCounts: (selectionCounts: readonly number[]) => void;
   clock: Clock;
 }
 
-/** Least time between two questions, in ms: about one pass, so that a shift shows within two. */
-const LEAST_MS = 80;
-/** Time between questions in times of what their answers take: links are then free for half of it. */
-const TIMES_OF_ANSWERS = 2;
-/** Most time between two questions, in ms: so long a shift goes by unseen. */
-const MOST_MS = 2_000;
-/** Weight of the last question in what they usually take. */
-const WEIGHT = 0.25;
+/** Minimum time between two polls, in ms: about one pass, so that a shift shows within two. */
+const MIN_INTERVAL_MS = 80;
+/**
+ * Time between polls as a multiple of the time that a poll takes: links are then free for half of
+ * the time.
+ */
+const INTERVAL_FACTOR = 2;
+/** Maximum time between two polls, in ms: a shift goes unseen for that long. */
+const MAX_INTERVAL_MS = 2_000;
+/** Weight of the last poll in the moving average of the time that a poll takes. */
+const EWMA_WEIGHT = 0.25;
 
-/** Starts to read; runs until `close`. */
-export const createNewsReader = (options: NewsReaderOptions): NewsReader => {
-  const { untilCoordinating, news, onReport, onPicks, clock } = options;
-  let usualMs = 0;
+/** Starts to poll; runs until `close`. */
+export const createTelemetryPoller = (options: TelemetryPollerOptions): TelemetryPoller => {
+  const { whenCoordinating, queryTelemetry, onReport, onSelectionCounts, clock } = options;
+  let typicalMs = 0;
   let isClosed = false;
 
-  const everyMs = (): number => Math.min(MOST_MS, Math.max(LEAST_MS, TIMES_OF_ANSWERS * usualMs));
+  const intervalMs = (): number =>
+    Math.min(MAX_INTERVAL_MS, Math.max(MIN_INTERVAL_MS, INTERVAL_FACTOR * typicalMs));
 
-  const readOnce = async (): Promise<number> => {
-    const began = clock.monotonic();
-    const { news: told, heard, ranks } = await news();
-    told.reports.forEach(onReport);
-    if (told.picks.length > 0) onPicks(told.picks);
-    const took = clock.monotonic() - began;
-    // Where most say nothing, links are full or lost; a rank that is silent alone takes none of their time.
-    if (2 * heard < ranks) usualMs = Math.max(2 * usualMs, took);
-    else if (heard === ranks) usualMs += (took - usualMs) * WEIGHT;
-    return took;
+  const poll = async (): Promise<number> => {
+    const startedAt = clock.monotonic();
+    const { telemetry, answered, ranks } = await queryTelemetry();
+    telemetry.reports.forEach(onReport);
+    if (telemetry.picks.length > 0) onSelectionCounts(telemetry.picks);
+    const elapsedMs = clock.monotonic() - startedAt;
+    // When most ranks don't answer, links are full or lost, and the interval grows. A single silent
+    // rank leaves it unchanged.
+    if (2 * answered < ranks) typicalMs = Math.max(2 * typicalMs, elapsedMs);
+    else if (answered === ranks) typicalMs += (elapsedMs - typicalMs) * EWMA_WEIGHT;
+    return elapsedMs;
   };
 
   const run = async (): Promise<void> => {
     while (!isClosed) {
-      await untilCoordinating();
+      await whenCoordinating();
       if (isClosed) return;
-      const took = await readOnce();
-      await sleep(clock, Math.max(1, everyMs() - took));
+      const elapsedMs = await poll();
+      await sleep(clock, Math.max(1, intervalMs() - elapsedMs));
     }
   };
   void run();
 
   return {
-    everyMs,
+    intervalMs,
     close: () => {
       isClosed = true;
     },
--- a/packages/rank-groups/src/links/pace-reporter.ts
+++ b/packages/rank-groups/src/links/pace-reporter.ts
@@ -1,4 +1,7 @@
-/** Tells the entries that the engine beside this agent is slow, so that they send it less. */
+/**
+ * Reports to the entries that the engine beside this agent is slow, so that they send it fewer
+ * requests.
+ */
 
 import type { Clock, EventLog, Metrics, Random } from '@plantaindrum/common';
 import { silentLogger } from '@plantaindrum/common';
@@ -8,20 +11,20 @@
 import type { RankReport } from '../types.js';
 import { agentIdentity } from './identity.js';
 
-/** The agent's reports to the entries. */
-export interface PaceReporter {
-  /** Takes each reading of the engine's pace. */
-  note(report: Pick<RankReport, 'pace' | 'startedAt'>): void;
-  /** Whether entries are being told, which wants fresh readings. */
-  isTelling(): boolean;
+/** Reports an engine's slowdown to the entries. */
+export interface SlowdownReporter {
+  /** Records a reading of the engine's slowdown. */
+  record(report: Pick<RankReport, 'pace' | 'startedAt'>): void;
+  /** Whether slowdowns are being reported, which needs current readings of the engine. */
+  isReporting(): boolean;
   close(): Promise<void>;
 }
 
 /** Options of `createPaceReporter`. */
-export interface PaceReporterOptions {
+export interface SlowdownReporterOptions {
   self: NodeRecord;
   region: string;
-  /** Address at which entries know the engine. */
+  /** Address by which entries identify the engine. */
   engine: { host: string; port: number };
   nodes: () => readonly NodeRecord[];
   clock: Clock;
@@ -30,22 +33,22 @@
   log: EventLog;
 }
 
-/** Pace above which entries are told: a group waits for its slowest rank in every pass. */
-const SLOW = 1.1;
-/** Links to entries are ended when the engine has been well for this long, in ms. */
-const WELL_MS = 5_000;
+/** Slowdown above which it is reported: a group waits for its slowest rank in every pass. */
+const SLOW_THRESHOLD = 1.1;
+/** Links to entries are closed once the engine has not been slow for this long, in ms. */
+const RECOVERY_MS = 5_000;
 const BACKOFF = { firstMs: 50, maxMs: 1_000 };
 const LIMITS = { ...defaultLinkLimits, helloTimeoutMs: 800 };
 
-/** Creates the reporter; it has links to entries only while there is something to tell. */
-export const createPaceReporter = (options: PaceReporterOptions): PaceReporter => {
+/** Creates the reporter, which keeps links to entries only while there is a slowdown to report. */
+export const createSlowdownReporter = (options: SlowdownReporterOptions): SlowdownReporter => {
   const { self, engine, nodes, clock, random, metrics, log } = options;
   const clients = new Map<string, LinkClient>();
-  let last: Pick<RankReport, 'pace' | 'startedAt'> | undefined;
+  let latest: Pick<RankReport, 'pace' | 'startedAt'> | undefined;
   let slowAt = -Infinity;
   let isSlow = false;
 
-  const open = ({ host, port }: NodeRecord): LinkClient =>
+  const connectTo = ({ host, port }: NodeRecord): LinkClient =>
     createLinkClient({
       connect: { host, port },
       identity: agentIdentity(self, options.region),
@@ -53,7 +56,7 @@
       limits: LIMITS,
       handlers: {},
       onLink: (link) => {
-        if (last) link.send({ t: 'note', method: 'engine.pace', args: { ...engine, ...last } });
+        if (latest) link.send({ t: 'note', method: 'engine.pace', args: { ...engine, ...latest } });
         return () => {};
       },
       backoff: BACKOFF,
@@ -69,29 +72,29 @@
     await Promise.all(all.map((client) => client.close()));
   };
 
-  const tell = (pace: number, startedAt: number): void => {
+  const sendToEntries = (pace: number, startedAt: number): void => {
     nodes()
       .filter(({ role }) => role === 'entry')
       .forEach((record) => {
         const key = `${record.host}:${record.port}`;
-        const client = clients.get(key) ?? open(record);
+        const client = clients.get(key) ?? connectTo(record);
         clients.set(key, client);
         const args = { ...engine, startedAt, pace };
         client.link()?.send({ t: 'note', method: 'engine.pace', args });
       });
   };
 
-  const isTelling = (): boolean => clock.monotonic() - slowAt < WELL_MS;
+  const isReporting = (): boolean => clock.monotonic() - slowAt < RECOVERY_MS;
 
   return {
-    isTelling,
-    note: ({ pace, startedAt }) => {
+    isReporting,
+    record: ({ pace, startedAt }) => {
       const now = clock.monotonic();
-      last = { pace, startedAt };
-      if (pace > SLOW) slowAt = now;
-      if (pace > SLOW !== isSlow) log.event('engine-pace', { pace });
-      isSlow = pace > SLOW;
-      if (isTelling()) tell(pace, startedAt);
+      latest = { pace, startedAt };
+      if (pace > SLOW_THRESHOLD) slowAt = now;
+      if (pace > SLOW_THRESHOLD !== isSlow) log.event('engine-pace', { pace });
+      isSlow = pace > SLOW_THRESHOLD;
+      if (isReporting()) sendToEntries(pace, startedAt);
       else if (clients.size > 0) void closeAll();
     },
     close: closeAll,
--- a/packages/rank-groups/src/links/placement-deltas.ts
+++ b/packages/rank-groups/src/links/placement-deltas.ts
@@ -1,62 +1,74 @@
-/** Maps on links between agents: whole, or as the difference to one that the receiver has had. */
+/**
+ * Encodes maps for links between agents, either in full or as the delta to a map that the receiver
+ * knows, and caches the maps that an agent knows.
+ */
 
 import type { Placement } from '../types.js';
 import { deflateNumbers, inflateNumbers } from '../tree/packing.js';
 
-/** Experts of one rank in one set, where they differ from the base. */
+/** Experts of one rank in one set that differ from the base map. */
 export type RankChange = readonly [set: number, rank: number, experts: readonly number[]];
 
-/** A map as it is told; `base` is the version of the same epoch that the changes apply to. */
-export type ToldMap =
+/** A map as it is sent. `base` is the version, of the same epoch, to which a delta applies. */
+export type EncodedMap =
   { form: 'whole'; bytes: Uint8Array } | { form: 'changes'; base: number; bytes: Uint8Array };
 
-interface Known {
+interface CachedPlacement {
   epoch: number;
   version: number;
   placement: Placement;
 }
 
-/** Maps that an agent knows, the newest few. */
-export interface PlacementBook {
+/** The latest maps that an agent knows. */
+export interface PlacementCache {
   put(epoch: number, version: number, placement: Placement): void;
   find(epoch: number, version: number): Placement | undefined;
-  /** The map that was told; undefined when its base isn't known here, or it is no map. */
-  resolve(epoch: number, told: ToldMap): Placement | undefined;
+  /** Decodes a received map; undefined when its base isn't cached or the data is invalid. */
+  decode(epoch: number, encoded: EncodedMap): Placement | undefined;
 }
 
-/** A change that is given up leaves its map unused; the one in use is among the last few. */
-const KEPT = 6;
+/**
+ * Maximum number of cached maps. Aborted changes leave unused maps behind, and the map in use is
+ * among the last few.
+ */
+const MAX_CACHED_MAPS = 6;
 
-const isSame = (a: readonly number[], b: readonly number[]): boolean =>
+const isSameList = (a: readonly number[], b: readonly number[]): boolean =>
   a.length === b.length && a.every((expert, at) => expert === b[at]);
 
-/** Where two maps of the same shape differ. */
-export const changesBetween = (from: Placement, to: Placement): RankChange[] =>
+/** Lists the differences between two maps of the same shape. */
+export const diffPlacements = (from: Placement, to: Placement): RankChange[] =>
   to.flatMap((ranks, set) =>
     ranks.flatMap((experts, rank): RankChange[] =>
-      isSame(experts, from[set]?.[rank] ?? []) ? [] : [[set, rank, experts]],
+      isSameList(experts, from[set]?.[rank] ?? []) ? [] : [[set, rank, experts]],
     ),
   );
 
-const listed = (experts: readonly number[]): number[] => [experts.length, ...experts];
-
-/** Tells a map whole: the number of ranks, then each rank's experts with their number, set by set. */
-export const tellWhole = (placement: Placement): ToldMap => {
-  const numbers = [placement[0]?.length ?? 0, ...placement.flatMap((set) => set.flatMap(listed))];
+const withLength = (experts: readonly number[]): number[] => [experts.length, ...experts];
+
+/**
+ * Encodes a full map: the number of ranks, then for each set and rank the number of experts and the
+ * experts.
+ */
+export const encodeFullMap = (placement: Placement): EncodedMap => {
+  const numbers = [
+    placement[0]?.length ?? 0,
+    ...placement.flatMap((set) => set.flatMap(withLength)),
+  ];
   return { form: 'whole', bytes: deflateNumbers(numbers) };
 };
 
-/** Tells a map as the difference to another. */
-export const tellChanges = (base: number, from: Placement, to: Placement): ToldMap => {
-  const numbers = changesBetween(from, to).flatMap(([set, rank, experts]) => [
+/** Encodes a map as the delta to another one. */
+export const encodeMapDelta = (base: number, from: Placement, to: Placement): EncodedMap => {
+  const numbers = diffPlacements(from, to).flatMap(([set, rank, experts]) => [
     set,
     rank,
-    ...listed(experts),
+    ...withLength(experts),
   ]);
   return { form: 'changes', base, bytes: deflateNumbers(numbers) };
 };
 
-/** Reads numbers one after the other. */
+/** Reads numbers in sequence. */
 const createReader = (numbers: readonly number[]) => {
   let at = 0;
   const next = (): number => {
@@ -70,7 +82,7 @@
   };
 };
 
-const readWhole = (bytes: Uint8Array): Placement | undefined => {
+const decodeFullMap = (bytes: Uint8Array): Placement | undefined => {
   const numbers = inflateNumbers(bytes);
   if (!numbers) return undefined;
   const reader = createReader(numbers);
@@ -81,7 +93,7 @@
   return placement;
 };
 
-const applyChanges = (base: Placement, bytes: Uint8Array): Placement | undefined => {
+const decodeMapDelta = (base: Placement, bytes: Uint8Array): Placement | undefined => {
   const numbers = inflateNumbers(bytes);
   if (!numbers) return undefined;
   const placement = base.map((ranks) => [...ranks]);
@@ -95,23 +107,23 @@
   return placement;
 };
 
-/** Creates an empty book. */
-export const createPlacementBook = (): PlacementBook => {
-  let known: Known[] = [];
+/** Creates an empty cache. */
+export const createPlacementCache = (): PlacementCache => {
+  let cached: CachedPlacement[] = [];
 
   const find = (epoch: number, version: number): Placement | undefined =>
-    known.find((entry) => entry.epoch === epoch && entry.version === version)?.placement;
+    cached.find((entry) => entry.epoch === epoch && entry.version === version)?.placement;
 
   return {
     put: (epoch, version, placement) => {
-      const others = known.filter((entry) => entry.epoch !== epoch || entry.version !== version);
-      known = [...others, { epoch, version, placement }].slice(-KEPT);
+      const others = cached.filter((entry) => entry.epoch !== epoch || entry.version !== version);
+      cached = [...others, { epoch, version, placement }].slice(-MAX_CACHED_MAPS);
     },
     find,
-    resolve: (epoch, told) => {
-      if (told.form === 'whole') return readWhole(told.bytes);
-      const base = find(epoch, told.base);
-      return base && applyChanges(base, told.bytes);
+    decode: (epoch, encoded) => {
+      if (encoded.form === 'whole') return decodeFullMap(encoded.bytes);
+      const base = find(epoch, encoded.base);
+      return base && decodeMapDelta(base, encoded.bytes);
     },
   };
 };
--- a/packages/rank-groups/src/links/rank-links.ts
+++ b/packages/rank-groups/src/links/rank-links.ts
@@ -1,4 +1,7 @@
-/** Links between the agents of a group: each keeps one to the lowest ranks, one of which coordinates. */
+/**
+ * Links between the agents of a group. Each agent keeps links to the lowest ranks, one of which
+ * coordinates.
+ */
 
 import type { Clock, EventLog, Metrics, Random } from '@plantaindrum/common';
 import { silentLogger } from '@plantaindrum/common';
@@ -10,30 +13,38 @@
 import { packNumbers, unpackNumbers } from '../tree/packing.js';
 import { TREE_CALL } from '../tree/tree-calls.js';
 import type { GroupShape, OrderOutcome, RankOrder } from '../types.js';
-import { readToldShape } from './group-shape.js';
+import { readShape } from './group-shape.js';
 import { agentIdentity } from './identity.js';
-import { HEARTBEAT_MS, heartbeatMsWith } from './heartbeat-pace.js';
-import { createLead } from './lead.js';
+import { HEARTBEAT_INTERVAL_MS, heartbeatIntervalMs } from './heartbeat-pace.js';
+import { createCoordinatorRole } from './lead.js';
 import { readOrderFor } from './shapes.js';
 
 /** Links of one agent. */
 export interface RankLinks {
-  /** Takes the published nodes and this agent's own rank. */
+  /** Updates the links for the published nodes and this agent's own rank. */
   setNodes(nodes: readonly NodeRecord[], group: string, rank: number): void;
-  /** Link to the agent of a rank. */
-  toRank(rank: number): Link | undefined;
-  /** Asks the agent of the lowest linked rank for the group's shape; undefined where it isn't told. */
-  askShape(): Promise<GroupShape | undefined>;
-  /** Link to the agent of the highest linked rank, the least likely to coordinate next. */
-  toHighest(): Link | undefined;
+  /** Returns the link to the agent of a rank. */
+  linkToRank(rank: number): Link | undefined;
+  /**
+   * Requests the group's shape from the agent of the lowest linked rank; undefined when it is not
+   * known there.
+   */
+  requestShape(): Promise<GroupShape | undefined>;
+  /**
+   * Returns the link to the agent of the highest linked rank, the least likely to coordinate next.
+   */
+  linkToHighest(): Link | undefined;
   /** Whether no agent of a lower rank is linked. */
   isLowest(): boolean;
   /** Resolves once no agent of a lower rank is linked. */
-  untilLowest(): Promise<void>;
-  /** The group's ranks as calls to all of them are passed on. */
+  whenLowest(): Promise<void>;
+  /** The tree along which calls to the group's ranks are relayed. */
   tree(): GroupTree;
-  /** Tells what was counted to the agent that coordinates next, so that it need not begin anew. */
-  tellStandby(picks: readonly number[]): void;
+  /**
+   * Sends selection counts to the agent that coordinates next, so that it need not start without
+   * any.
+   */
+  sendToStandby(selectionCounts: readonly number[]): void;
   close(): Promise<void>;
 }
 
@@ -41,16 +52,16 @@
 export interface RankLinksOptions {
   self: NodeRecord;
   region: string;
-  /** Serves a call along the tree. */
-  serveTree: (args: unknown) => Promise<unknown>;
-  /** Ranks of the group, as far as is known. */
+  /** Handles a call that arrives along the tree. */
+  handleTreeCall: (args: unknown) => Promise<unknown>;
+  /** Number of ranks of the group, as far as it is known. */
   groupSize: () => number;
-  /** Gives an order to the engine beside another agent, for that agent. */
-  orderFor: (node: string, order: RankOrder) => Promise<OrderOutcome>;
-  /** The group's shape where it is known here. */
+  /** Sends an order to the engine beside another agent, on behalf of that agent. */
+  orderForPeer: (node: string, order: RankOrder) => Promise<OrderOutcome>;
+  /** The group's shape; undefined while it is not known here. */
   shape: () => GroupShape | undefined;
-  /** Takes what the coordinator's agent passes on to its successor. */
-  onPicks: (picks: readonly number[]) => void;
+  /** Handles selection counts that the coordinator sends to its successor. */
+  onSelectionCounts: (selectionCounts: readonly number[]) => void;
   clock: Clock;
   random: Random;
   metrics: Metrics;
@@ -58,27 +69,28 @@
 }
 
 /**
- * Lowest ranks that each agent keeps a link to. Three may be lost at once before the others have to
- * dial; a link to every other agent would cost a heartbeat for each pair.
+ * Number of lowest ranks to which each agent keeps a link. Three may be lost at once before the
+ * others have to connect to further ranks. Links to all agents would cost a heartbeat for each
+ * pair.
  */
-const KEPT_LINKS = 3;
-/** A link that has been down for this long makes way for one to the next rank, in ms. */
-const DOWN_MS = 1_000;
+const LINKED_LOWEST_RANKS = 3;
+/** A link that has been down for this long is replaced by one to the next rank, in ms. */
+const REPLACE_AFTER_MS = 1_000;
 const LIMITS = {
   ...defaultLinkLimits,
-  heartbeatMs: HEARTBEAT_MS,
+  heartbeatMs: HEARTBEAT_INTERVAL_MS,
   heartbeatsMissed: 3,
   helloTimeoutMs: 800,
   connections: 1_024,
 };
 const BACKOFF = { firstMs: 50, maxMs: 1_000 };
 
-const PICKS_NOTE = 'rank.picks';
+const SELECTION_COUNTS_NOTE = 'rank.picks';
 const SHAPE_CALL = 'rank.shape';
-/** Time for the answer to a question over a link, in ms. */
-const ASK_MS = 400;
+/** Timeout of a request for the shape, in ms. */
+const SHAPE_TIMEOUT_MS = 400;
 
-interface Dialled {
+interface DialledLink {
   client: LinkClient;
   node: string;
   downSince: number | undefined;
@@ -88,70 +100,71 @@
 export const createRankLinks = async (options: RankLinksOptions): Promise<RankLinks> => {
   const { self, clock, random, metrics, log } = options;
   const links = new Map<string, Link>();
-  const dialled = new Map<string, Dialled>();
-  let ranks = new Map<string, number>();
+  const dialled = new Map<string, DialledLink>();
+  let rankByNode = new Map<string, number>();
   let tree: GroupTree = [];
-  // Asked for at each call along the tree, and changes seldom.
-  let linkedByRank: ReadonlyMap<number, Link> | undefined;
+  // Cached because it is read at each call along the tree and changes rarely.
+  let cachedLinksByRank: ReadonlyMap<number, Link> | undefined;
   let ownRank = Infinity;
-  /** Ranks whose loss this agent has to notice soon. */
-  let watched: ReadonlySet<number> = new Set();
+  /** Ranks whose loss this agent has to detect soon. */
+  let criticalRanks: ReadonlySet<number> = new Set();
 
-  const linked = (): ReadonlyMap<number, Link> => {
-    linkedByRank ??= new Map(
+  const linksByRank = (): ReadonlyMap<number, Link> => {
+    cachedLinksByRank ??= new Map(
       [...links]
         .flatMap(([node, link]): [number, Link][] => {
-          const rank = ranks.get(node);
+          const rank = rankByNode.get(node);
           return rank === undefined ? [] : [[rank, link]];
         })
         .sort(([a], [b]) => a - b),
     );
-    return linkedByRank;
+    return cachedLinksByRank;
   };
 
   const lowestLinked = (): number => {
-    const [lowest = Infinity] = linked().keys();
+    const [lowest = Infinity] = linksByRank().keys();
     return lowest;
   };
-  const lead = createLead(() => lowestLinked() > ownRank);
-  const noteLinked = (): void => {
-    linkedByRank = undefined;
-    lead.noteChange();
+  const coordinatorRole = createCoordinatorRole(() => lowestLinked() > ownRank);
+  const handleLinkChange = (): void => {
+    cachedLinksByRank = undefined;
+    coordinatorRole.handleChange();
   };
 
   const handlers = {
-    [TREE_CALL]: options.serveTree,
+    [TREE_CALL]: options.handleTreeCall,
     [SHAPE_CALL]: async () => options.shape(),
     'rank.order-for': async (args: unknown) => {
-      const asked = readOrderFor(args);
-      return asked ? options.orderFor(asked.node, asked.order) : 'refused';
+      const request = readOrderFor(args);
+      return request ? options.orderForPeer(request.node, request.order) : 'refused';
     },
   };
 
   const onLink = (link: Link): FrameHandler => {
     const { node } = link.peer;
     links.set(node, link);
-    noteLinked();
-    log.event('rank-linked', { peer: node, rank: ranks.get(node) });
-    void link.closed.then((why) => {
+    handleLinkChange();
+    log.event('rank-linked', { peer: node, rank: rankByNode.get(node) });
+    void link.closed.then((reason) => {
       if (links.get(node) === link) links.delete(node);
-      noteLinked();
-      log.event('rank-lost', { peer: node, rank: ranks.get(node), why });
+      handleLinkChange();
+      log.event('rank-lost', { peer: node, rank: rankByNode.get(node), why: reason });
     });
     return (frame) => {
-      if (frame.t !== 'note' || frame.method !== PICKS_NOTE) return;
-      const picks = frame.args instanceof Uint8Array ? unpackNumbers(frame.args) : undefined;
-      if (picks) options.onPicks(picks);
+      if (frame.t !== 'note' || frame.method !== SELECTION_COUNTS_NOTE) return;
+      const selectionCounts =
+        frame.args instanceof Uint8Array ? unpackNumbers(frame.args) : undefined;
+      if (selectionCounts) options.onSelectionCounts(selectionCounts);
     };
   };
 
-  const heartbeatMs = (node: string): number => {
-    const peer = ranks.get(node);
-    return heartbeatMsWith({
+  const peerHeartbeatMs = (node: string): number => {
+    const peer = rankByNode.get(node);
+    return heartbeatIntervalMs({
       own: ownRank,
       peer,
       lowestLinked: lowestLinked(),
-      isWatched: peer !== undefined && watched.has(peer),
+      needsFastDetection: peer !== undefined && criticalRanks.has(peer),
       groupSize: options.groupSize(),
     });
   };
@@ -160,7 +173,7 @@
     identity: agentIdentity(self, options.region),
     intentOffset: () => -1,
     limits: LIMITS,
-    heartbeatMsWith: heartbeatMs,
+    heartbeatMsWith: peerHeartbeatMs,
     handlers,
     onLink,
     clock,
@@ -173,7 +186,7 @@
   const dial = ({ node, host, port }: NodeRecord): void => {
     const key = `${host}:${port}`;
     if (dialled.has(key)) return;
-    const entry: Dialled = {
+    const entry: DialledLink = {
       node,
       downSince: undefined,
       client: createLinkClient({
@@ -193,11 +206,11 @@
     const entry = dialled.get(`${host}:${port}`);
     if (!entry) return false;
     if (entry.client.link()) entry.downSince = undefined;
-    return entry.downSince !== undefined && clock.monotonic() - entry.downSince > DOWN_MS;
+    return entry.downSince !== undefined && clock.monotonic() - entry.downSince > REPLACE_AFTER_MS;
   };
 
-  /** Ends links that are no longer wanted, once all that are have come about. */
-  const endOthers = (wanted: readonly NodeRecord[]): void => {
+  /** Closes links that are no longer wanted, once all wanted ones are established. */
+  const closeOthers = (wanted: readonly NodeRecord[]): void => {
     const keys = new Set(wanted.map(({ host, port }) => `${host}:${port}`));
     const isComplete = [...keys].every((key) => dialled.get(key)?.client.link() !== undefined);
     [...dialled].forEach(([key, { client }]) => {
@@ -213,8 +226,8 @@
       const members = nodes.flatMap((record) =>
         record.group?.name === group ? [{ record, rank: record.group.rank }] : [],
       );
-      ranks = new Map(members.map((entry) => [entry.record.node, entry.rank]));
-      noteLinked();
+      rankByNode = new Map(members.map((entry) => [entry.record.node, entry.rank]));
+      handleLinkChange();
       tree = buildTree(
         members.map((entry) => ({ rank: entry.rank, dataCentre: entry.record.dataCentre })),
       );
@@ -224,40 +237,42 @@
         .sort((a, b) => a.rank - b.rank)
         .map(({ record }) => record);
       const up = lower.filter((record) => !isDown(record));
-      const lowest = up.slice(0, KEPT_LINKS);
+      const lowest = up.slice(0, LINKED_LOWEST_RANKS);
       const isUp = (other: number): boolean => {
         const record = byRank.get(other);
         return record !== undefined && !isDown(record);
       };
-      // Of two agents the one with the higher rank dials.
-      const callers = relaysOf(tree, rank, isUp);
-      const relays = callers
+      // Of two agents, the one with the higher rank connects.
+      const possibleRelays = relaysOf(tree, rank, isUp);
+      const relays = possibleRelays
         .filter((other) => other < rank)
         .flatMap((other) => byRank.get(other) ?? []);
-      // Those that are down are dialled on: one of them that comes back coordinates again.
-      const down = lower.filter(isDown).slice(0, KEPT_LINKS);
-      const called = [...linked().keys()].filter((other) =>
+      // Ranks that are down are dialled further on: one that returns coordinates again.
+      const down = lower.filter(isDown).slice(0, LINKED_LOWEST_RANKS);
+      const relayedRanks = [...linksByRank().keys()].filter((other) =>
         relaysOf(tree, other, isUp).includes(rank),
       );
-      const isNext = up.length <= KEPT_LINKS;
-      const next = isNext ? [...byRank.keys()].filter((other) => other < rank) : [];
-      watched = new Set([...callers, ...called, ...next]);
+      const mayCoordinateNext = up.length <= LINKED_LOWEST_RANKS;
+      const lowerRanks = mayCoordinateNext
+        ? [...byRank.keys()].filter((other) => other < rank)
+        : [];
+      criticalRanks = new Set([...possibleRelays, ...relayedRanks, ...lowerRanks]);
       [...lowest, ...relays, ...down].forEach(dial);
-      endOthers([...lowest, ...relays, ...down]);
+      closeOthers([...lowest, ...relays, ...down]);
     },
-    toRank: (rank) => linked().get(rank),
-    askShape: async () => {
-      const [lowest] = linked().values();
-      const reply = await lowest?.call(SHAPE_CALL, {}, ASK_MS);
-      return reply?.outcome === 'answered' ? readToldShape(reply.value) : undefined;
+    linkToRank: (rank) => linksByRank().get(rank),
+    requestShape: async () => {
+      const [lowest] = linksByRank().values();
+      const reply = await lowest?.call(SHAPE_CALL, {}, SHAPE_TIMEOUT_MS);
+      return reply?.outcome === 'answered' ? readShape(reply.value) : undefined;
     },
-    toHighest: () => [...linked().values()].at(-1),
-    isLowest: lead.isLowest,
-    untilLowest: lead.untilLowest,
+    linkToHighest: () => [...linksByRank().values()].at(-1),
+    isLowest: coordinatorRole.isLowest,
+    whenLowest: coordinatorRole.whenLowest,
     tree: () => tree,
-    tellStandby: (picks) => {
-      const [, next] = [...linked()].find(([rank]) => rank > ownRank) ?? [];
-      next?.send({ t: 'note', method: PICKS_NOTE, args: packNumbers(picks) });
+    sendToStandby: (selectionCounts) => {
+      const [, next] = [...linksByRank()].find(([rank]) => rank > ownRank) ?? [];
+      next?.send({ t: 'note', method: SELECTION_COUNTS_NOTE, args: packNumbers(selectionCounts) });
     },
     close: async () => {
       await Promise.all([...dialled.values()].map(({ client }) => client.close()));
--- a/packages/rank-groups/src/links/shapes.ts
+++ b/packages/rank-groups/src/links/shapes.ts
@@ -1,14 +1,14 @@
-/** Checks what agents of a group say to each other before any code relies on its type. */
+/** Validates messages between the agents of a group. */
 
 import { isNumber, isObject } from '@plantaindrum/common';
 import type { OrderOutcome, RankOrder } from '../types.js';
-import type { ToldMap } from './placement-deltas.js';
+import type { EncodedMap } from './placement-deltas.js';
 
-/** The outcome of an order; anything else is no answer. */
+/** Reads the outcome of an order; an invalid value counts as no answer. */
 export const readOutcome = (value: unknown): OrderOutcome =>
   value === 'done' || value === 'refused' ? value : 'no-answer';
 
-/** An order without a map; undefined when it isn't one. */
+/** Reads an order without a map; undefined when it is invalid. */
 export const readOrder = (value: unknown): RankOrder | undefined => {
   if (!isObject(value) || !isNumber(value.epoch)) return undefined;
   const { op, epoch, version, step } = value;
@@ -18,28 +18,28 @@
   return undefined;
 };
 
-/** A map that a rank is to prepare, or that is in use. */
-export interface ToldPlacement {
+/** A map that a rank is to prepare or that is in use. */
+export interface VersionedMap {
   epoch: number;
   version: number;
-  map: ToldMap;
+  map: EncodedMap;
 }
 
-const readMap = (value: unknown): ToldMap | undefined => {
+const readMap = (value: unknown): EncodedMap | undefined => {
   if (!isObject(value) || !(value.bytes instanceof Uint8Array)) return undefined;
   const { form, base, bytes } = value;
   if (form === 'whole') return { form, bytes };
   return form === 'changes' && isNumber(base) ? { form, base, bytes } : undefined;
 };
 
-/** A map with its version; undefined when it isn't one. */
-export const readPreparation = (value: unknown): ToldPlacement | undefined => {
+/** Reads a map with its version; undefined when it is invalid. */
+export const readVersionedMap = (value: unknown): VersionedMap | undefined => {
   if (!isObject(value) || !isNumber(value.epoch) || !isNumber(value.version)) return undefined;
   const map = readMap(value.map);
   return map && { epoch: value.epoch, version: value.version, map };
 };
 
-/** An order that an agent asks another to give to its own engine; undefined when it isn't that. */
+/** Reads an order that another agent's engine is to receive; undefined when it is invalid. */
 export const readOrderFor = (value: unknown): { node: string; order: RankOrder } | undefined => {
   if (!isObject(value) || typeof value.node !== 'string') return undefined;
   const order = readOrder(value.order);
--- a/packages/rank-groups/src/member.ts
+++ b/packages/rank-groups/src/member.ts
@@ -1,4 +1,7 @@
-/** The agent beside one rank: it reads the rank's engine, tells the coordinator, passes orders on. */
+/**
+ * The agent's interface to its own engine: reads its state and selection counts, and forwards
+ * orders to it.
+ */
 
 import type { Clock, EventLog, Metrics } from '@plantaindrum/common';
 import { sleep } from '@plantaindrum/common';
@@ -11,18 +14,25 @@
   RankReport,
 } from './types.js';
 
-/** The agent's part in its group. */
+/** A group's member: one rank with its engine. */
 export interface RankMember {
-  /** The newest report; undefined before the first. */
+  /** The latest report; undefined before the first. */
   lastReport(): RankReport | undefined;
-  /** Reads a report now. */
+  /** Reads a report from the engine now. */
   report(): Promise<RankReport | undefined>;
-  /** A report for others that ask regularly, read now unless the last one will do or the engine has just fallen silent. */
-  newsReport(): Promise<RankReport | undefined>;
-  /** Picks of each expert since this was last asked; none the first time, or after a long pause. */
-  takePicks(): Promise<number[]>;
-  /** Whether the engine has copied a version within this time, in ms. */
-  awaitPrepared(version: number, mostMs: number): Promise<boolean>;
+  /**
+   * Returns a report for the coordinator's telemetry polls: the latest one if it is recent enough,
+   * otherwise one that is read now. If the engine does not answer, a slightly older report is
+   * returned, or none.
+   */
+  telemetryReport(): Promise<RankReport | undefined>;
+  /**
+   * Selection counts of each expert since the last call; none on the first call or after a long
+   * pause.
+   */
+  takeSelectionCounts(): Promise<number[]>;
+  /** Waits until the engine has prepared a version; false when it has not within `timeoutMs`. */
+  awaitPrepared(version: number, timeoutMs: number): Promise<boolean>;
   order(order: RankOrder): Promise<OrderOutcome>;
   placement(): Promise<RankPlacement | undefined>;
   close(): void;
@@ -31,125 +41,145 @@
 /** Options of `createRankMember`. */
 export interface RankMemberOptions {
   engine: RankEngine;
-  /** Told of each reading of the engine. */
+  /** Called with each periodic reading of the engine. */
   onReport: (report: RankReport) => void;
-  /** Whether readings are wanted once a pass though a coordinator asks for news. */
-  isWatched: () => boolean;
+  /** Whether the engine is read once a pass even while a coordinator polls this agent. */
+  needsFreshReports: () => boolean;
   clock: Clock;
   metrics: Metrics;
   log: EventLog;
 }
 
-/** Between readings of the engine, in ms: about a pass, so that a shift shows within two passes. */
-const READ_MS = 80;
-/** The same while a coordinator asks for news, whose questions are readings of their own. */
-const ASKED_READ_MS = 400;
-/** A report of this age tells a coordinator what it needs, in ms: two passes; its counts are read each time. */
-const FRESH_MS = 150;
-/** A coordinator that has not asked for this long may be gone, in ms. */
-const ASKED_MS = 1_000;
-/** Pause between readings while a change waits for the engine to have copied experts, in ms. */
-const COPYING_MS = 15;
-/** An engine that does not answer is asked less often, in ms. */
-const SILENT_MS = 500;
-/** A report that is older says nothing about now, in ms: four readings, and one that took long. */
-const RECENT_MS = 400;
-/** Picks of a longer time tell what was popular before, not now, in ms. */
-const PICKS_MOST_MS = 2_000;
+/**
+ * Time between readings of the engine, in ms: about one pass, so that a shift shows within two
+ * passes.
+ */
+const READ_INTERVAL_MS = 80;
+/**
+ * Time between readings while a coordinator polls this agent, in ms; each poll also reads the
+ * engine.
+ */
+const POLLED_READ_INTERVAL_MS = 400;
+/**
+ * Maximum age of a report that answers a telemetry poll, in ms: two passes. Selection counts are
+ * read at each poll.
+ */
+const MAX_TELEMETRY_AGE_MS = 150;
+/** A coordinator that has not polled for this long may be lost, in ms. */
+const POLL_TIMEOUT_MS = 1_000;
+/** Time between readings while a change waits for the engine to copy experts, in ms. */
+const COPY_CHECK_INTERVAL_MS = 15;
+/** Pause before an engine that does not answer is read again, in ms. */
+const SILENT_RETRY_DELAY_MS = 500;
+/**
+ * Maximum age of a report that is returned when the engine does not answer, in ms: four readings
+ * and one slow one.
+ */
+const MAX_FALLBACK_AGE_MS = 400;
+/**
+ * Counts that cover more time than this are dropped because they describe earlier popularity, in
+ * ms.
+ */
+const MAX_COUNTING_PERIOD_MS = 2_000;
 
-/** Picks of each expert between two readings; an engine that started anew counts from nothing. */
-const picksBetween = (before: ExpertCounts, now: ExpertCounts): number[] => {
-  const isAnew =
+/** Counts between two readings. An engine that has restarted counts from zero. */
+const countsBetween = (before: ExpertCounts, now: ExpertCounts): number[] => {
+  const hasRestarted =
     now.startedAt > before.startedAt || now.counts.some((n, at) => n < (before.counts[at] ?? 0));
-  return isAnew ? [...now.counts] : now.counts.map((n, at) => n - (before.counts[at] ?? 0));
+  return hasRestarted ? [...now.counts] : now.counts.map((n, at) => n - (before.counts[at] ?? 0));
 };
 
 /** Starts to read the engine; runs until `close`. */
 export const createRankMember = (options: RankMemberOptions): RankMember => {
-  const { engine, onReport, isWatched, clock, metrics, log } = options;
-  let askedAt = -Infinity;
-  let last: { report: RankReport; at: number } | undefined;
-  /** When a report was last told on; those that are read for a change are not. */
-  let toldAt = -Infinity;
-  let counted: { counts: ExpertCounts; at: number } | undefined;
-  let taking: Promise<unknown> = Promise.resolve();
+  const { engine, onReport, needsFreshReports, clock, metrics, log } = options;
+  let polledAt = -Infinity;
+  let latest: { report: RankReport; at: number } | undefined;
+  /** Time of the last reading passed to `onReport`; readings made for a change don't count. */
+  let reportedAt = -Infinity;
+  let lastCounts: { counts: ExpertCounts; at: number } | undefined;
+  let pendingRead: Promise<unknown> = Promise.resolve();
   let stopped = false;
 
-  const noteReport = (report: RankReport): void => {
-    const before = last?.report;
-    if (before && before.startedAt < report.startedAt) {
+  const recordReport = (report: RankReport): void => {
+    const previous = latest?.report;
+    if (previous && previous.startedAt < report.startedAt) {
       log.event('engine-started-again', { rank: report.rank, startedAt: report.startedAt });
     }
-    if (before?.epoch !== report.epoch || before.isOpen !== report.isOpen) {
+    if (previous?.epoch !== report.epoch || previous.isOpen !== report.isOpen) {
       const { group, epoch, rank, isOpen, map } = report;
       log.event('rank-state', { group, epoch, rank, isOpen, map });
     }
-    last = { report, at: clock.monotonic() };
+    latest = { report, at: clock.monotonic() };
   };
 
-  const readPicks = async (): Promise<number[]> => {
+  const readSelectionCounts = async (): Promise<number[]> => {
     const reading = await engine.counts();
     if (!reading) return [];
-    const before = counted;
-    counted = { counts: reading, at: clock.monotonic() };
-    // The first reading holds all of the engine's past, which says nothing about now.
-    const isUsable = before && counted.at - before.at < PICKS_MOST_MS;
-    return isUsable ? picksBetween(before.counts, reading) : [];
+    const previous = lastCounts;
+    lastCounts = { counts: reading, at: clock.monotonic() };
+    // The first reading covers the engine's whole lifetime and says nothing about current
+    // popularity.
+    const isUsable = previous && lastCounts.at - previous.at < MAX_COUNTING_PERIOD_MS;
+    return isUsable ? countsBetween(previous.counts, reading) : [];
   };
 
   const readNow = async (): Promise<RankReport | undefined> => {
     const report = await engine.report();
-    if (report) noteReport(report);
+    if (report) recordReport(report);
     return report;
   };
 
-  const readOnce = async (): Promise<RankReport | undefined> => {
+  const readAndReport = async (): Promise<RankReport | undefined> => {
     const report = await readNow();
     if (!report) {
       metrics.count('rank_engine_silent');
       return undefined;
     }
-    toldAt = clock.monotonic();
+    reportedAt = clock.monotonic();
     onReport(report);
     return report;
   };
 
-  const readEveryMs = (): number => {
-    const isAsked = clock.monotonic() - askedAt < ASKED_MS;
-    return isAsked && !isWatched() ? ASKED_READ_MS : READ_MS;
+  const readIntervalMs = (): number => {
+    const isPolled = clock.monotonic() - polledAt < POLL_TIMEOUT_MS;
+    return isPolled && !needsFreshReports() ? POLLED_READ_INTERVAL_MS : READ_INTERVAL_MS;
   };
 
   const run = async (): Promise<void> => {
     while (!stopped) {
-      const restMs = toldAt + readEveryMs() - clock.monotonic();
-      if (restMs > 0) await sleep(clock, restMs);
-      else if (!(await readOnce())) await sleep(clock, SILENT_MS);
+      const waitMs = reportedAt + readIntervalMs() - clock.monotonic();
+      if (waitMs > 0) await sleep(clock, waitMs);
+      else if (!(await readAndReport())) await sleep(clock, SILENT_RETRY_DELAY_MS);
     }
   };
   void run();
 
   const reportWithin = (ms: number): RankReport | undefined =>
-    last && clock.monotonic() - last.at < ms ? last.report : undefined;
+    latest && clock.monotonic() - latest.at < ms ? latest.report : undefined;
 
   return {
-    lastReport: () => last?.report,
+    lastReport: () => latest?.report,
     report: readNow,
-    newsReport: async () => {
-      askedAt = clock.monotonic();
-      return reportWithin(FRESH_MS) ?? (await readOnce()) ?? reportWithin(RECENT_MS);
+    telemetryReport: async () => {
+      polledAt = clock.monotonic();
+      return (
+        reportWithin(MAX_TELEMETRY_AGE_MS) ??
+        (await readAndReport()) ??
+        reportWithin(MAX_FALLBACK_AGE_MS)
+      );
     },
-    // One reading after the other: an older one that came in last would look like an engine that
-    // started anew, and all of its counts would pass for new picks.
-    takePicks: () => {
-      const taken = taking.then(readPicks);
-      taking = taken;
-      return taken;
+    // Readings are sequential. If an older one came in last, the engine would seem to have
+    // restarted, and all of its counts would be taken for new ones.
+    takeSelectionCounts: () => {
+      const reading = pendingRead.then(readSelectionCounts);
+      pendingRead = reading;
+      return reading;
     },
-    awaitPrepared: async (version, mostMs) => {
-      for (const until = clock.monotonic() + mostMs; ;) {
+    awaitPrepared: async (version, timeoutMs) => {
+      for (const until = clock.monotonic() + timeoutMs; ;) {
         if ((await readNow())?.prepared === version) return true;
         if (clock.monotonic() > until) return false;
-        await sleep(clock, COPYING_MS);
+        await sleep(clock, COPY_CHECK_INTERVAL_MS);
       }
     },
     order: async (order) => {
--- a/packages/rank-groups/src/obstacles.ts
+++ b/packages/rank-groups/src/obstacles.ts
@@ -1,27 +1,33 @@
 import type { Clock, EventFields, EventLog } from '@plantaindrum/common';
 
-/** Why a coordinator leaves its group as it is. */
-export type Obstacle =
+/** Why a coordinator plans no change of its group's map. */
+export type Blocker =
   'ranks-silent' | 'group-closed' | 'map-unknown' | 'pass-held' | 'change-under-way';
 
-/** Says why nothing is done; undefined where nothing stands in the way. */
-export type NoteObstacle = (obstacle: Obstacle | undefined, fields?: EventFields) => void;
+/** Records the current blocker; undefined when nothing blocks a change. */
+export type RecordBlocker = (blocker: Blocker | undefined, fields?: EventFields) => void;
 
-/** An obstacle that lasts is told of again after this long, in ms. */
-const AGAIN_MS = 5_000;
+/** A blocker that lasts is logged again after this time, in ms. */
+const REPEAT_INTERVAL_MS = 5_000;
 
-/** Creates the note-taker: each obstacle once, and again from time to time; `isEarly` keeps it silent. */
-export const createObstacles = (
-  isEarly: () => boolean,
+/**
+ * Creates the recorder. It logs each new blocker once and repeats one that lasts; nothing is
+ * recorded while `isStarting` returns true.
+ */
+export const createBlockerLog = (
+  isStarting: () => boolean,
   clock: Clock,
   log: EventLog,
-): NoteObstacle => {
-  let told: { obstacle: Obstacle | undefined; at: number } = { obstacle: undefined, at: -Infinity };
-  return (obstacle, fields = {}) => {
+): RecordBlocker => {
+  let lastRecorded: { blocker: Blocker | undefined; at: number } = {
+    blocker: undefined,
+    at: -Infinity,
+  };
+  return (blocker, fields = {}) => {
     const now = clock.monotonic();
-    if (isEarly()) return;
-    const isNews = obstacle !== told.obstacle || now - told.at > AGAIN_MS;
-    if (isNews && obstacle) log.event('group-left', { obstacle, ...fields });
-    if (isNews) told = { obstacle, at: now };
+    if (isStarting()) return;
+    const isDue = blocker !== lastRecorded.blocker || now - lastRecorded.at > REPEAT_INTERVAL_MS;
+    if (isDue && blocker) log.event('group-left', { obstacle: blocker, ...fields });
+    if (isDue) lastRecorded = { blocker, at: now };
   };
 };
--- a/packages/rank-groups/src/plan/edits.ts
+++ b/packages/rank-groups/src/plan/edits.ts
@@ -1,32 +1,33 @@
-/** Changes of a set's placement that take load off its busiest rank. */
+/** Searches for changes of a set's placement that reduce the load of its busiest rank. */
 
 import type { SetPlacement } from './set-placement.js';
 
-/** Limits of one change of map. */
+/** Limits of one map change. */
 export interface EditLimits {
   places: number;
-  /** Experts that may still come new to a rank, in this set and in all sets. */
-  room: (rank: number, set: SetPlacement) => number;
+  /** Number of experts that a rank may still copy, in this set and in all sets. */
+  remainingCopies: (rank: number, set: SetPlacement) => number;
 }
 
-/** One edit: experts that ranks give up and take. */
+/** One edit: experts that are removed from and added to ranks. */
 export interface Edit {
-  drops: readonly { rank: number; expert: number }[];
-  takes: readonly { rank: number; expert: number }[];
-  /** Experts copied. */
+  removals: readonly { rank: number; expert: number }[];
+  additions: readonly { rank: number; expert: number }[];
+  /** Number of experts copied. */
   copies: number;
-  /** Relief for each copy; larger is better. */
+  /** Load reduction per copy; larger is better. */
   value: number;
 }
 
-/** Ranks with the least load that are tried as receivers. */
-const RECEIVERS = 6;
-/** Cost of an edit without a copy, in copies; keeps the value finite. */
-const FREE_EDIT = 0.1;
+/** Number of least loaded ranks that are tried as receivers. */
+const MAX_RECEIVERS = 6;
+/** Base cost of each edit, in copies; keeps the value of an edit without a copy finite. */
+const EDIT_BASE_COST = 0.1;
 
 /**
- * The sixth power follows the busiest ranks, whose load sets a pass's time, and unlike the maximum
- * it also rewards an edit while several ranks are equally busy.
+ * Weight of a rank's load. The sixth power is dominated by the busiest ranks, whose load determines
+ * the time of a pass. Unlike the maximum, it also rewards an edit while several ranks are equally
+ * busy.
  */
 const weight = (load: number): number => {
   const square = load * load;
@@ -34,34 +35,34 @@
 };
 
 /**
- * Changes of a few ranks' loads. Hundreds are tried for each edit that is made, so the same arrays are used for all
- * of them.
+ * Load changes of a few ranks. Hundreds of candidates are evaluated for each edit that is made, so
+ * the arrays are reused for all of them.
  */
-interface Deltas {
-  shift(rank: number, change: number): void;
-  /** What the changes relieve the set of; they are forgotten by it. */
-  takeRelief(set: SetPlacement): number;
+interface LoadChanges {
+  add(rank: number, change: number): void;
+  /** Returns the reduction of the set's weighted load by these changes, and clears them. */
+  takeReduction(set: SetPlacement): number;
 }
 
-const createDeltas = (size: number): Deltas => {
-  const by = new Float64Array(size);
-  // An edit changes the hosts of two experts; each host is named at most twice for each.
+const createLoadChanges = (size: number): LoadChanges => {
+  const changeByRank = new Float64Array(size);
+  // An edit changes the hosts of two experts, and lists each host at most twice for each.
   const ranks = new Int32Array(4 * size);
   let count = 0;
   return {
-    shift: (rank, change) => {
+    add: (rank, change) => {
       ranks[count] = rank;
       count += 1;
-      by[rank] = (by[rank] ?? 0) + change;
+      changeByRank[rank] = (changeByRank[rank] ?? 0) + change;
     },
-    takeRelief: (set) => {
+    takeReduction: (set) => {
       let total = 0;
       for (let at = 0; at < count; at += 1) {
         const rank = ranks[at] ?? 0;
-        const change = by[rank] ?? 0;
+        const change = changeByRank[rank] ?? 0;
         const load = set.loads[rank] ?? 0;
         if (change !== 0) total += weight(load) - weight(load + change);
-        by[rank] = 0;
+        changeByRank[rank] = 0;
       }
       count = 0;
       return total;
@@ -69,114 +70,127 @@
   };
 };
 
-/** How the loads change when an expert's hosts change. */
-const rehost = (
+/** Adds the load changes of a change in an expert's hosts. */
+const changeHosts = (
   set: SetPlacement,
-  deltas: Deltas,
+  loadChanges: LoadChanges,
   expert: number,
-  lose: number | undefined,
-  gain: number | undefined,
+  removed: number | undefined,
+  added: number | undefined,
 ): void => {
   const before = set.hosts(expert);
-  const after = before.length - (lose === undefined ? 0 : 1) + (gain === undefined ? 0 : 1);
+  const after = before.length - (removed === undefined ? 0 : 1) + (added === undefined ? 0 : 1);
   for (let at = 0; at < before.length; at += 1) {
     const rank = before[at] ?? 0;
-    const kept = rank === lose ? 0 : set.part(rank, expert, after);
-    deltas.shift(rank, kept - set.part(rank, expert, before.length));
+    const loadAfter = rank === removed ? 0 : set.expertLoad(rank, expert, after);
+    loadChanges.add(rank, loadAfter - set.expertLoad(rank, expert, before.length));
   }
-  if (gain !== undefined) deltas.shift(gain, set.part(gain, expert, after));
+  if (added !== undefined) loadChanges.add(added, set.expertLoad(added, expert, after));
 };
 
-/** The ranks with the least load, in order; found in one pass, as it is asked for before each edit. */
-const coolest = ({ loads }: SetPlacement, hot: number): number[] => {
+/**
+ * Returns the ranks with the least load in order; computed in one pass because it is needed before
+ * each edit.
+ */
+const leastLoaded = ({ loads }: SetPlacement, busiest: number): number[] => {
   const ranks: number[] = [];
   loads.forEach((load, rank) => {
-    if (rank === hot) return;
+    if (rank === busiest) return;
     let at = ranks.length;
     while (at > 0 && load < (loads[ranks[at - 1] ?? 0] ?? 0)) at -= 1;
-    if (at >= RECEIVERS) return;
+    if (at >= MAX_RECEIVERS) return;
     ranks.splice(at, 0, rank);
-    if (ranks.length > RECEIVERS) ranks.pop();
+    if (ranks.length > MAX_RECEIVERS) ranks.pop();
   });
   return ranks;
 };
 
-/** The best edit for a set's busiest rank; undefined when none helps within the limits. */
+/**
+ * Returns the best edit for a set's busiest rank; undefined when none improves it within the
+ * limits.
+ */
 export const bestEdit = (set: SetPlacement, limits: EditLimits): Edit | undefined => {
-  const hot = set.loads.indexOf(set.highest());
-  const deltas = createDeltas(set.loads.length);
+  const busiest = set.loads.indexOf(set.maxLoad());
+  const loadChanges = createLoadChanges(set.loads.length);
   let best: Edit | undefined;
 
-  const copiesOf = (rank: number, expert: number): number => (set.hadBefore(rank, expert) ? 0 : 1);
-  const hasRoom = (rank: number, copies: number): boolean =>
-    copies === 0 || limits.room(rank, set) >= copies;
+  const copiesOf = (rank: number, expert: number): number =>
+    set.hadInitially(rank, expert) ? 0 : 1;
+  const mayCopy = (rank: number, copies: number): boolean =>
+    copies === 0 || limits.remainingCopies(rank, set) >= copies;
 
-  /** Takes the edit whose changes of load have just been reckoned, if it is the best so far. */
-  const consider = (copies: number, edit: () => Omit<Edit, 'value' | 'copies'>): void => {
-    const gain = deltas.takeRelief(set);
-    const value = gain / (copies + FREE_EDIT);
-    if (gain > 1e-9 && value > (best?.value ?? 0)) best = { ...edit(), copies, value };
+  /** Keeps the edit whose load changes have just been added, if it is the best so far. */
+  const evaluate = (copies: number, edit: () => Omit<Edit, 'value' | 'copies'>): void => {
+    const reduction = loadChanges.takeReduction(set);
+    const value = reduction / (copies + EDIT_BASE_COST);
+    if (reduction > 1e-9 && value > (best?.value ?? 0)) best = { ...edit(), copies, value };
   };
 
-  /** `cool` takes `expert`, from `hot` or beside it, and gives up `freed` where it is full. */
-  const tryTake = (expert: number, cool: number, freed: number | undefined): void => {
-    const copies = copiesOf(cool, expert);
-    const takes = [{ rank: cool, expert }];
-    const freedDrops = freed === undefined ? [] : [{ rank: cool, expert: freed }];
-    const free = (): void => {
-      if (freed !== undefined) rehost(set, deltas, freed, cool, undefined);
+  /**
+   * Tries to add `expert` to `receiver`, with or without removing it from `busiest`. A full
+   * receiver gives up `replaced`.
+   */
+  const tryTake = (expert: number, receiver: number, replaced: number | undefined): void => {
+    const copies = copiesOf(receiver, expert);
+    const additions = [{ rank: receiver, expert }];
+    const replacedRemovals = replaced === undefined ? [] : [{ rank: receiver, expert: replaced }];
+    const removeReplaced = (): void => {
+      if (replaced !== undefined) changeHosts(set, loadChanges, replaced, receiver, undefined);
     };
-    rehost(set, deltas, expert, undefined, cool);
-    free();
-    consider(copies, () => ({ drops: freedDrops, takes }));
-    rehost(set, deltas, expert, hot, cool);
-    free();
-    consider(copies, () => ({ drops: [...freedDrops, { rank: hot, expert }], takes }));
+    changeHosts(set, loadChanges, expert, undefined, receiver);
+    removeReplaced();
+    evaluate(copies, () => ({ removals: replacedRemovals, additions }));
+    changeHosts(set, loadChanges, expert, busiest, receiver);
+    removeReplaced();
+    evaluate(copies, () => ({
+      removals: [...replacedRemovals, { rank: busiest, expert }],
+      additions,
+    }));
   };
 
-  const trySwap = (expert: number, cool: number, other: number): void => {
-    if (set.held(hot).includes(other)) return;
-    const back = copiesOf(hot, other);
-    if (!hasRoom(hot, back)) return;
-    rehost(set, deltas, expert, hot, cool);
-    rehost(set, deltas, other, cool, hot);
-    consider(copiesOf(cool, expert) + back, () => ({
-      drops: [
-        { rank: hot, expert },
-        { rank: cool, expert: other },
+  const trySwap = (expert: number, receiver: number, other: number): void => {
+    if (set.expertsAt(busiest).includes(other)) return;
+    const returnCopies = copiesOf(busiest, other);
+    if (!mayCopy(busiest, returnCopies)) return;
+    changeHosts(set, loadChanges, expert, busiest, receiver);
+    changeHosts(set, loadChanges, other, receiver, busiest);
+    evaluate(copiesOf(receiver, expert) + returnCopies, () => ({
+      removals: [
+        { rank: busiest, expert },
+        { rank: receiver, expert: other },
       ],
-      takes: [
-        { rank: cool, expert },
-        { rank: hot, expert: other },
+      additions: [
+        { rank: receiver, expert },
+        { rank: busiest, expert: other },
       ],
     }));
   };
 
-  const tryReceiver = (expert: number, cool: number): void => {
-    const there = set.held(cool);
-    if (there.includes(expert) || !hasRoom(cool, copiesOf(cool, expert))) return;
-    if (there.length < limits.places) tryTake(expert, cool, undefined);
+  const tryReceiver = (expert: number, receiver: number): void => {
+    const receiverExperts = set.expertsAt(receiver);
+    if (receiverExperts.includes(expert) || !mayCopy(receiver, copiesOf(receiver, expert))) return;
+    if (receiverExperts.length < limits.places) tryTake(expert, receiver, undefined);
     else {
-      there
+      receiverExperts
         .filter((other) => set.hosts(other).length > 1)
-        .forEach((other) => tryTake(expert, cool, other));
+        .forEach((other) => tryTake(expert, receiver, other));
     }
-    there.forEach((other) => trySwap(expert, cool, other));
+    receiverExperts.forEach((other) => trySwap(expert, receiver, other));
   };
 
-  const receivers = coolest(set, hot);
-  set.held(hot).forEach((expert) => {
+  const receivers = leastLoaded(set, busiest);
+  set.expertsAt(busiest).forEach((expert) => {
     if (set.hosts(expert).length > 1) {
-      rehost(set, deltas, expert, hot, undefined);
-      consider(0, () => ({ drops: [{ rank: hot, expert }], takes: [] }));
+      changeHosts(set, loadChanges, expert, busiest, undefined);
+      evaluate(0, () => ({ removals: [{ rank: busiest, expert }], additions: [] }));
     }
-    receivers.forEach((cool) => tryReceiver(expert, cool));
+    receivers.forEach((receiver) => tryReceiver(expert, receiver));
   });
   return best;
 };
 
-/** Carries an edit out. Takes come first, so that no expert is without a host in between. */
+/** Applies an edit. Additions come first, so that no expert is left without a host in between. */
 export const applyEdit = (set: SetPlacement, edit: Edit): void => {
-  edit.takes.forEach(({ rank, expert }) => set.add(rank, expert));
-  edit.drops.forEach(({ rank, expert }) => set.remove(rank, expert));
+  edit.additions.forEach(({ rank, expert }) => set.add(rank, expert));
+  edit.removals.forEach(({ rank, expert }) => set.remove(rank, expert));
 };
--- a/packages/rank-groups/src/plan/popularity.ts
+++ b/packages/rank-groups/src/plan/popularity.ts
@@ -1,97 +1,114 @@
 /**
- * How popular each expert is now, from counts that arrive in small pieces.
+ * Estimates the current popularity of each expert from counts that arrive in small parts.
  *
- * The pattern: most of a group's picks follow one popularity, which stays the same for seconds and then
- * shifts at once. The rest follows what the streams in flight are about, which differs from rank to
- * rank and turns over as streams end. Taken rank by rank, one rank's streams look like a shift, and
- * the map is changed for them several times a second. So the counts of all ranks are summed to one
- * piece, pieces are remembered for as long as streams last, and a shift is a difference well above
- * those that pieces usually show.
+ * Most of a group's selections follow one distribution, which stays the same for seconds and then
+ * shifts at once. The rest depends on the content of the streams in flight, which differs between
+ * ranks and changes as streams end. If each rank's counts were a sample of their own, one rank's
+ * streams would look like a shift, and the map would be changed for them several times a second. So
+ * the counts of all ranks are summed into one sample, samples are remembered for as long as streams
+ * last, and a shift is a difference well above the typical one between samples.
  */
 
 import type { Clock } from '@plantaindrum/common';
 
 /** Estimate of the experts' popularity. */
 export interface Popularity {
-  /** Takes the picks of some rank since its last call, set by set. */
-  add(picks: readonly number[]): void;
-  /** Share of a set's picks that goes to each expert; undefined before enough is known. */
+  /** Adds the selection counts of a rank since its last call, set by set. */
+  add(counts: readonly number[]): void;
+  /**
+   * Returns each expert's share of its set's selections; undefined before there are enough counts.
+   */
   shares(): number[][] | undefined;
-  /** Pieces since the last shift that was noticed. */
-  sinceShift(): number;
+  /** Number of samples since the last detected shift. */
+  samplesSinceShift(): number;
 }
 
 /** Options of `createPopularity`. */
 export interface PopularityOptions {
   sets: number;
   experts: number;
-  /** Ranks whose picks make a piece. */
+  /** Number of ranks whose counts make a sample. */
   ranks: () => number;
-  /** Time in which every rank tells its picks once, in ms. */
-  pieceMs: () => number;
+  /** Time in which every rank reports its counts once, in ms. */
+  sampleMs: () => number;
   clock: Clock;
 }
 
 /**
- * Time after which a piece counts 1/e, in ms: about as long as a stream lasts. Replayed on counts that
- * 12 ranks made in two runs of 30 s with 11 shifts each, the busiest rank was at 1.53 and 1.65 of the
- * mean with 124 and 153 experts copied; with each rank's counts a piece of its own it was at 1.62 and
- * 1.71 with 286 and 265. Between 500 and 4,000 ms the figures differ by chance only.
+ * Decay time of a sample's weight, in ms: about the duration of a stream. Replayed on counts of 12
+ * ranks from two runs of 30 s with 11 shifts each, the busiest rank was at 1.53 and 1.65 of the
+ * mean with 124 and 153 experts copied. With each rank's counts as a sample of its own it was at
+ * 1.62 and 1.71, with 286 and 265 copied. Between 500 and 4,000 ms the figures differ only by
+ * chance.
  */
-const MEMORY_MS = 1_000;
+const DECAY_MS = 1_000;
 /**
- * Least share of the picks that goes to other experts in a shift: pieces of twelve to sixteen ranks differ by 0.05
- * while popularity stays. The more ranks, the more streams are behind a piece, and the less it differs by
- * chance, by the root of their number. With 63 ranks a shift of 0.2 to 0.3 that came in the middle of a piece
- * went unnoticed until the next.
+ * Minimum share of the selections that moves to other experts in a shift, for groups of up to
+ * `MIN_SHIFT_RANKS` ranks; without a shift, samples of 12 to 16 ranks differ by 0.05. For more
+ * ranks the limit decreases with the square root of their number, as does the random difference,
+ * because a sample covers more streams. With the undiminished limit, shifts of 0.2 to 0.3 in the
+ * middle of a sample of 63 ranks were only detected in the next sample.
  */
-const LEAST_SHIFT = 0.13;
-const RANKS_OF_LEAST = 16;
-/** What streams are about differs a little from piece to piece in a group of any size. */
-const LEAST_OF_ALL = 0.05;
+const MIN_SHIFT = 0.13;
+const MIN_SHIFT_RANKS = 16;
+/**
+ * Lower limit for groups of any size, because the content of streams always differs a little
+ * between samples.
+ */
+const MIN_SHIFT_ANY_SIZE = 0.05;
 
-const leastShift = (ranks: number): number =>
-  Math.max(LEAST_OF_ALL, LEAST_SHIFT * Math.sqrt(Math.min(1, RANKS_OF_LEAST / Math.max(1, ranks))));
-/** A shift differs by the usual difference and this many times its usual deviation. */
+const minShift = (ranks: number): number =>
+  Math.max(
+    MIN_SHIFT_ANY_SIZE,
+    MIN_SHIFT * Math.sqrt(Math.min(1, MIN_SHIFT_RANKS / Math.max(1, ranks))),
+  );
+/** A shift exceeds the mean difference by this many times its deviation. */
 const DEVIATIONS = 4;
-/** Weight of a new piece in the usual difference: some ten pieces, a second, are remembered. */
-const USUAL_WEIGHT = 0.1;
-/** Pieces in a row that a shift may differ in; where more do, it is usual that they differ. */
-const PIECES_OF_SHIFT = 2;
-/** Picks that a piece needs, for each expert of a set: its own chance is then below 0.04. */
-const PICKS_FOR_PIECE = 150;
+/** Weight of a new sample in the moving average of the differences: about ten samples, a second. */
+const EWMA_WEIGHT = 0.1;
+/**
+ * Maximum number of successive samples above the limit that one shift causes; after more, the
+ * differences are taken as typical.
+ */
+const MAX_SHIFT_SAMPLES = 2;
+/** Minimum counts in a sample for each expert of a set: its random error is then below 0.04. */
+const MIN_COUNTS_PER_EXPERT = 150;
 
 const sum = (values: readonly number[]): number => values.reduce((total, n) => total + n, 0);
 
-/** The usual difference between a piece and the estimate, and whether one is beyond it. */
-const createUsualDifference = (least: () => number) => {
-  let usual = least() / 2;
-  let deviation = least() / 2 / DEVIATIONS;
-  let beyond = 0;
+/**
+ * Tracks the typical difference between a sample and the estimate, and detects differences above
+ * it.
+ */
+const createDifferenceBaseline = (minLimit: () => number) => {
+  let mean = minLimit() / 2;
+  let deviation = minLimit() / 2 / DEVIATIONS;
+  let samplesAboveLimit = 0;
   return {
-    /** Whether a difference is beyond the usual; it becomes a little more usual by it. */
-    isBeyond: (difference: number): boolean => {
-      const limit = Math.max(least(), usual + DEVIATIONS * deviation);
-      beyond = difference > limit ? beyond + 1 : 0;
-      // A shift is beyond in one piece, or in two where it came in the middle of one. It teaches nothing: with a
-      // shift every ten pieces the next ones would pass for usual, and the map would stay as it was.
-      if (beyond > 0 && beyond <= PIECES_OF_SHIFT) return true;
-      const taught = Math.min(difference, limit);
-      deviation += (Math.abs(taught - usual) - deviation) * USUAL_WEIGHT;
-      usual += (taught - usual) * USUAL_WEIGHT;
-      return beyond > 0;
+    /** Whether a difference exceeds the limit; otherwise it updates the moving averages. */
+    exceedsLimit: (difference: number): boolean => {
+      const limit = Math.max(minLimit(), mean + DEVIATIONS * deviation);
+      samplesAboveLimit = difference > limit ? samplesAboveLimit + 1 : 0;
+      // A shift exceeds the limit in one sample, or in two if it comes in the middle of one. It
+      // must not update the averages: with a shift every ten samples, later shifts would be taken
+      // as typical, and the map would not change.
+      if (samplesAboveLimit > 0 && samplesAboveLimit <= MAX_SHIFT_SAMPLES) return true;
+      const observed = Math.min(difference, limit);
+      deviation += (Math.abs(observed - mean) - deviation) * EWMA_WEIGHT;
+      mean += (observed - mean) * EWMA_WEIGHT;
+      return samplesAboveLimit > 0;
     },
   };
 };
 
-/** Creates the estimate for a group of this many sets and experts. */
+/** Creates the estimate for a group with this number of sets and experts. */
 export const createPopularity = (options: PopularityOptions): Popularity => {
-  const { sets, experts, ranks, pieceMs, clock } = options;
+  const { sets, experts, ranks, sampleMs, clock } = options;
   const size = sets * experts;
-  const usual = createUsualDifference(() => leastShift(ranks()));
+  const baseline = createDifferenceBaseline(() => minShift(ranks()));
   let estimate = new Array<number>(size).fill(0);
   let pending = new Array<number>(size).fill(0);
-  let pieces = 0;
+  let sampleCount = 0;
   let closedAt = clock.monotonic();
 
   const bySet = (values: readonly number[]): number[][] =>
@@ -103,7 +120,7 @@
       return set.map((n) => n / total);
     });
 
-  /** Share of the picks that goes to other experts, over all sets. */
+  /** Share of the selections that goes to other experts, averaged over the sets. */
   const difference = (a: readonly number[], b: readonly number[]): number => {
     const [x, y] = [toShares(a), toShares(b)];
     const perSet = x.map((set, at) =>
@@ -112,27 +129,28 @@
     return sum(perSet) / (2 * sets);
   };
 
-  const isEnough = (values: readonly number[]): boolean => sum(values) >= PICKS_FOR_PIECE * size;
+  const hasEnoughCounts = (values: readonly number[]): boolean =>
+    sum(values) >= MIN_COUNTS_PER_EXPERT * size;
 
-  const isShift = (piece: readonly number[]): boolean =>
-    isEnough(estimate) && usual.isBeyond(difference(piece, estimate));
+  const isShift = (sample: readonly number[]): boolean =>
+    hasEnoughCounts(estimate) && baseline.exceedsLimit(difference(sample, estimate));
 
-  const close = (now: number): void => {
-    const isNew = isShift(pending);
-    const kept = isNew ? 0 : Math.exp(-(now - closedAt) / MEMORY_MS);
-    pieces = isNew ? 0 : pieces + 1;
-    estimate = estimate.map((n, at) => n * kept + (pending[at] ?? 0));
+  const closeSample = (now: number): void => {
+    const hasShifted = isShift(pending);
+    const decay = hasShifted ? 0 : Math.exp(-(now - closedAt) / DECAY_MS);
+    sampleCount = hasShifted ? 0 : sampleCount + 1;
+    estimate = estimate.map((n, at) => n * decay + (pending[at] ?? 0));
     pending = new Array<number>(size).fill(0);
     closedAt = now;
   };
 
   return {
-    add: (picks) => {
-      pending = pending.map((n, at) => n + (picks[at] ?? 0));
+    add: (counts) => {
+      pending = pending.map((n, at) => n + (counts[at] ?? 0));
       const now = clock.monotonic();
-      if (now - closedAt >= pieceMs() && isEnough(pending)) close(now);
+      if (now - closedAt >= sampleMs() && hasEnoughCounts(pending)) closeSample(now);
     },
-    shares: () => (isEnough(estimate) ? toShares(estimate) : undefined),
-    sinceShift: () => pieces,
+    shares: () => (hasEnoughCounts(estimate) ? toShares(estimate) : undefined),
+    samplesSinceShift: () => sampleCount,
   };
 };
--- a/packages/rank-groups/src/rank-agent.ts
+++ b/packages/rank-groups/src/rank-agent.ts
@@ -1,4 +1,7 @@
-/** An agent beside one rank of an expert group: member, links and, while it is the lowest, coordinator. */
+/**
+ * The agent beside one rank of an expert group: its member, its links and, while its rank is the
+ * lowest linked one, the group's coordinator.
+ */
 
 import type { Clock, EventLog, Metrics, Random } from '@plantaindrum/common';
 import { sleep } from '@plantaindrum/common';
@@ -15,13 +18,13 @@
 import type { Coordinator } from './coordinator.js';
 import { createEngineFinder } from './engine-finder.js';
 import type { EngineFinderOptions } from './engine-finder.js';
-import { createPaceReporter } from './links/pace-reporter.js';
-import { createPlacementBook } from './links/placement-deltas.js';
-import { awaitShape, coordinatesSoon } from './links/group-shape.js';
+import { createSlowdownReporter } from './links/pace-reporter.js';
+import { createPlacementCache } from './links/placement-deltas.js';
+import { awaitShape, mayCoordinateNext } from './links/group-shape.js';
 import { createRankLinks } from './links/rank-links.js';
 import type { RankLinks } from './links/rank-links.js';
-import { createNewsReader } from './links/news-reader.js';
-import type { NewsReader } from './links/news-reader.js';
+import { createTelemetryPoller } from './links/news-reader.js';
+import type { TelemetryPoller } from './links/news-reader.js';
 import { readOutcome } from './links/shapes.js';
 import { createRankMember } from './member.js';
 import type { RankMember } from './member.js';
@@ -44,9 +47,9 @@
   engineHost: string;
   enginePort: number;
   openEngine: (host: string, port: number) => RankEngine;
-  /** The group's shape from the operators' intent; undefined while it isn't known. */
+  /** Reads the group's shape from the operators' intent; undefined while it is not known. */
   readShape: () => Promise<GroupShape | undefined>;
-  /** Engines of the group's service as the platform lists them. */
+  /** Lists the engines of the group's service from the platform. */
   listEngines: EngineFinderOptions['list'];
   weighs: Weighs;
   nodes: KeyedTopic;
@@ -63,53 +66,58 @@
 }
 
 /**
- * Agents come and go seldom; the list is read again after each change, but not more often. While the store refuses,
- * a list that is known serves on, and each refusal that all agents of a group ask for is paid for.
+ * Polling of the node registry. Agents change rarely; the registry is read again after each change,
+ * but not more often than `pauseMs`. While the store refuses, the known nodes stay in use and
+ * retries are delayed, as each refused request of each agent is billed.
+ */
+const NODE_POLLING = { waitMs: 10_000, pauseMs: 1_000, retryMaxMs: 4_000 };
+/**
+ * Maximum number of node records that are forwarded at once. When a group starts, the list takes
+ * about 100 KB for 228 nodes. Forwarded by one agent it would fill that agent's link for a second
+ * while the group forms and the other agents' links are idle.
  */
-const NODES_READ = { waitMs: 10_000, pauseMs: 1_000, retryMaxMs: 4_000 };
+const MAX_FORWARDED_NODES = 20;
+/** Timeout of an order sent through another agent, in ms; link and engine take about ten. */
+const PEER_ORDER_TIMEOUT_MS = 110;
+/** Time between updates of the links from the known nodes, in ms. */
+const LINK_UPDATE_INTERVAL_MS = 250;
 /**
- * Most nodes that are passed on at once. When all start, the list is some 100 KB for 228 nodes: sent on by one agent
- * it would fill that one's link for a second in which the group forms, while the others' links are free.
+ * Time between checks whether the engine has reported its rank, in ms; the check only reads a local
+ * value.
  */
-const MOST_PASSED_ON = 20;
-/** An order given by another agent, in ms: the link and the engine take some ten. */
-const CALL_MS = 110;
-/** How often links follow what is known of the nodes, in ms. */
-const LINKS_MS = 250;
-/** How often this agent looks whether its engine has told its rank, in ms; that is read anyway. */
-const PLACE_MS = 50;
+const RANK_CHECK_INTERVAL_MS = 50;
 
 /** Starts an agent; rejects when its link address is in use. */
 export const createRankAgent = async (options: RankAgentOptions): Promise<RankAgent> => {
   const { self, engineHost, enginePort, openEngine, clock, random, metrics, log } = options;
   const nodes = new Map<string, NodeRecord>();
-  let place: RankPlace | undefined;
+  let ownPlace: RankPlace | undefined;
   let coordinator: Coordinator | undefined;
-  let news: NewsReader | undefined;
+  let telemetryPoller: TelemetryPoller | undefined;
   let shape: GroupShape | undefined;
   let stopped = false;
   let publisher: Publisher | undefined;
   const engine = openEngine(engineHost, enginePort);
 
-  const takePlace = ({ group, rank }: RankReport): void => {
-    if (place?.name === group && place.rank === rank) return;
-    place = { name: group, rank, engineHost, enginePort };
+  const publishPlace = ({ group, rank }: RankReport): void => {
+    if (ownPlace?.name === group && ownPlace.rank === rank) return;
+    ownPlace = { name: group, rank, engineHost, enginePort };
     publisher?.close();
-    const record = { ...self, group: place };
+    const record = { ...self, group: ownPlace };
     publisher = createPublisher({ record, publish: options.publish, clock, log });
   };
 
-  const orderFor = async (node: string, order: RankOrder): Promise<OrderOutcome> => {
-    const asking = nodes.get(node)?.group;
-    if (!asking) return 'no-answer';
-    const outcome = await openEngine(asking.engineHost, asking.enginePort).order(order);
+  const orderForPeer = async (node: string, order: RankOrder): Promise<OrderOutcome> => {
+    const requester = nodes.get(node)?.group;
+    if (!requester) return 'no-answer';
+    const outcome = await openEngine(requester.engineHost, requester.enginePort).order(order);
     log.event('order-for-peer', { peer: node, op: order.op, epoch: order.epoch, outcome });
     return outcome;
   };
 
   let links: RankLinks | undefined;
   let follower: Follower | undefined;
-  const pace = createPaceReporter({
+  const slowdownReporter = createSlowdownReporter({
     self,
     region: options.region,
     engine: { host: engineHost, port: enginePort },
@@ -122,65 +130,66 @@
   const member: RankMember = createRankMember({
     engine,
     onReport: (report) => {
-      takePlace(report);
-      pace.note(report);
+      publishPlace(report);
+      slowdownReporter.record(report);
       coordinator?.onUpdate({ report, picks: [] });
     },
-    // The coordinator tells the passes and the map in use from its own rank, whose report is the newest.
-    isWatched: () => pace.isTelling() || (links?.isLowest() ?? true),
+    // The coordinator takes pass and map in use from its own rank, so that rank's report must be
+    // the latest.
+    needsFreshReports: () => slowdownReporter.isReporting() || (links?.isLowest() ?? true),
     clock,
     metrics,
     log,
   });
-  const book = createPlacementBook();
+  const placementCache = createPlacementCache();
   const methods = createRankMethods({
     member: () => member,
-    book,
+    placementCache,
     onNodes: (push) => follower?.takePush(push),
     clock,
   });
-  const calls = createTreeCalls({ linkTo: (rank) => links?.toRank(rank), methods });
+  const calls = createTreeCalls({ linkTo: (rank) => links?.linkToRank(rank), methods });
   links = await createRankLinks({
     self,
     region: options.region,
-    serveTree: calls.serve,
+    handleTreeCall: calls.handle,
     shape: () => shape,
     groupSize: () => member.lastReport()?.size ?? 0,
-    orderFor,
-    onPicks: (picks) => {
-      if (!links?.isLowest()) coordinator?.onPicks(picks);
+    orderForPeer,
+    onSelectionCounts: (selectionCounts) => {
+      if (!links?.isLowest()) coordinator?.onSelectionCounts(selectionCounts);
     },
     clock,
     random,
     metrics,
     log,
   });
-  const linked = links;
+  const rankLinks = links;
 
-  const keepLinks = async (): Promise<void> => {
+  const maintainLinks = async (): Promise<void> => {
     while (!stopped) {
-      if (place) linked.setNodes([...nodes.values()], place.name, place.rank);
-      await sleep(clock, LINKS_MS);
+      if (ownPlace) rankLinks.setNodes([...nodes.values()], ownPlace.name, ownPlace.rank);
+      await sleep(clock, LINK_UPDATE_INTERVAL_MS);
     }
   };
-  void keepLinks();
+  void maintainLinks();
 
-  // A rank whose agent is not linked is reached at its engine's own address: the one that its agent
-  // uses belongs to the agent's VM, which may be frozen or gone while the engine runs on.
+  // A rank whose agent is not linked is reached at its engine's own address. The address that the
+  // agent uses belongs to the agent's VM, which may be frozen or lost while the engine continues.
   const finder = createEngineFinder({ list: options.listEngines, open: openEngine, clock, log });
-  const epochNow = (): number => member.lastReport()?.epoch ?? -1;
-  const direct = async (rank: number): Promise<RankEngine | undefined> =>
-    place && finder.find(place.name, epochNow(), rank);
+  const currentEpoch = (): number => member.lastReport()?.epoch ?? -1;
+  const findEngine = async (rank: number): Promise<RankEngine | undefined> =>
+    ownPlace && finder.find(ownPlace.name, currentEpoch(), rank);
 
   const port = createRankPort({
-    ownRank: () => place?.rank,
+    ownRank: () => ownPlace?.rank,
     member,
-    linkTo: linked.toRank,
-    tree: linked.tree,
+    linkTo: rankLinks.linkToRank,
+    tree: rankLinks.tree,
     calls,
     methods,
-    book,
-    direct,
+    placementCache,
+    findEngine,
     clock,
     metrics,
     log,
@@ -194,65 +203,68 @@
     topic: options.nodes,
     mirror,
     askPeers: async () => undefined,
-    // Each call to the log is paid for. The agent that coordinates reads the list for its group, the others
-    // only while they are linked to no lower rank, or have not heard of it for the time of a reading.
-    isReadByPeer: () => !linked.isLowest(),
+    // Each call to the log is billed. The coordinator's agent reads the registry for its group. The
+    // others read it only while no lower rank is linked, or when no update was received for one
+    // polling period.
+    isReadByPeer: () => !rankLinks.isLowest(),
     onAnswer: (push) => {
-      const isSmall = push.records.length <= MOST_PASSED_ON;
-      if (isSmall && linked.isLowest()) port.passOnNodes(push);
+      const isSmall = push.records.length <= MAX_FORWARDED_NODES;
+      if (isSmall && rankLinks.isLowest()) port.forwardNodes(push);
     },
     onRestored: () => publisher?.confirm(mirror),
-    ...NODES_READ,
+    ...NODE_POLLING,
     clock,
     metrics,
     log,
   });
 
-  const orderOwnFromAfar = (order: RankOrder): Promise<OrderOutcome> | undefined =>
-    linked
-      .toHighest()
-      ?.call('rank.order-for', { node: self.node, order }, CALL_MS)
+  const orderOwnRankViaPeer = (order: RankOrder): Promise<OrderOutcome> | undefined =>
+    rankLinks
+      .linkToHighest()
+      ?.call('rank.order-for', { node: self.node, order }, PEER_ORDER_TIMEOUT_MS)
       .then((reply) => readOutcome(reply.outcome === 'answered' ? reply.value : undefined));
 
   const coordinate = async (): Promise<void> => {
-    // Nobody coordinates a group that opens before this is known: waiting out a whole pause for the
-    // engine's first word left it 1.4 s with the map it forms with, and all its streams late.
-    while (!place && !stopped) await sleep(clock, PLACE_MS);
-    const rank = place?.rank;
+    // A group that opens before its agents know their ranks has no coordinator. Waiting a whole
+    // reading interval for the engine's first report left the group on its initial map for 1.4 s,
+    // with all its streams late.
+    while (!ownPlace && !stopped) await sleep(clock, RANK_CHECK_INTERVAL_MS);
+    const rank = ownPlace?.rank;
     if (rank === undefined) return;
     shape = await awaitShape({
       read: options.readShape,
-      ask: linked.askShape,
+      request: rankLinks.requestShape,
       rank,
-      isLowest: linked.isLowest,
+      isLowest: rankLinks.isLowest,
       isStopped: () => stopped,
       clock,
     });
     if (!shape) return;
-    // Those that may have to coordinate know the engines, should the platform be out of reach by then.
-    if (coordinatesSoon(rank)) await finder.prepare();
+    // Agents that may coordinate next find the engines in advance, in case the platform can't be
+    // reached by then.
+    if (mayCoordinateNext(rank)) await finder.prepare();
     if (stopped) return;
-    const reader = createNewsReader({
-      untilCoordinating: linked.untilLowest,
-      news: port.news,
+    const poller = createTelemetryPoller({
+      whenCoordinating: rankLinks.whenLowest,
+      queryTelemetry: port.telemetry,
       onReport: (report) => coordinator?.onUpdate({ report, picks: [] }),
-      onPicks: (picks) => {
-        coordinator?.onPicks(picks);
-        linked.tellStandby(picks);
+      onSelectionCounts: (selectionCounts) => {
+        coordinator?.onSelectionCounts(selectionCounts);
+        rankLinks.sendToStandby(selectionCounts);
       },
       clock,
     });
-    news = reader;
+    telemetryPoller = poller;
     coordinator = createCoordinator({
       port,
       ownRank: rank,
       shape,
       weighs: options.weighs,
-      isLowest: linked.isLowest,
-      untilLowest: linked.untilLowest,
-      knownPlacement: book.find,
-      newsEveryMs: reader.everyMs,
-      orderOwnFromAfar,
+      isLowest: rankLinks.isLowest,
+      untilLowest: rankLinks.whenLowest,
+      knownPlacement: placementCache.find,
+      newsEveryMs: poller.intervalMs,
+      orderOwnFromAfar: orderOwnRankViaPeer,
       clock,
       random,
       metrics,
@@ -266,12 +278,12 @@
       stopped = true;
       log.event('stopping', {});
       coordinator?.close();
-      news?.close();
+      telemetryPoller?.close();
       member.close();
       publisher?.close();
       follower?.close();
-      await pace.close();
-      await linked.close();
+      await slowdownReporter.close();
+      await rankLinks.close();
       log.flush();
     },
   };
--- a/packages/rank-groups/src/tree/group-tree.ts
+++ b/packages/rank-groups/src/tree/group-tree.ts
@@ -1,11 +1,13 @@
 /**
- * Who passes calls on to whom in a group. The pattern: one agent that calls every rank sends and reads as
- * many messages as there are ranks, over a link made for one server's traffic. Reading what 192 ranks
- * hold took 0.4 s and kept the agent's own engine from being heard; a map to each would take 6 s.
+ * Tree along which calls to all ranks of a group are relayed.
  *
- * So calls go down a tree: to one agent in each data centre, from there to one in each cluster of its
- * ranks, from there to the members. Nobody calls more than about twice the square root of a data centre's
- * ranks, and one copy of a message enters each data centre.
+ * If one agent called every rank, it would send and receive as many messages as there are ranks
+ * over a single VM's link. Reading the experts of 192 ranks took 0.4 s and kept the agent from
+ * reading its own engine; sending a map to each would take 6 s.
+ *
+ * Instead, a call goes to one agent in each data centre, from there to one in each cluster of its
+ * ranks, and from there to the members. An agent calls at most about twice the square root of the
+ * number of ranks in a data centre, and one copy of a message enters each data centre.
  */
 
 /** A rank and the data centre of its agent. */
@@ -14,26 +16,31 @@
   dataCentre: string;
 }
 
-/** A rank, and the routes to which its agent passes a call on. */
+/** A rank, and the routes to which its agent relays a call. */
 export interface Route {
   rank: number;
   below: readonly Route[];
 }
 
-/** The clusters of one data centre, each with its ranks in order. */
+/** The clusters of one data centre, each with its ranks in ascending order. */
 type DataCentre = readonly (readonly number[])[];
 
-/** The group's ranks by data centre and cluster; the same at every agent that knows the same members. */
+/** The group's ranks by data centre and cluster; equal at all agents that know the same members. */
 export type GroupTree = readonly DataCentre[];
 
-/** Up to this many ranks of a data centre are called by one agent without clusters. */
-const UNCLUSTERED = 8;
-/** Lowest ranks of a cluster or data centre to which the others keep links: a spare for each relay. */
-export const RELAYS = 2;
-/** Group of this many ranks or fewer: one agent reaches all sooner than a relay does. */
-export const DIRECT_RANKS = 16;
+/** Maximum number of ranks of a data centre that one agent calls without clusters. */
+const MAX_UNCLUSTERED_RANKS = 8;
+/**
+ * Number of lowest ranks in a cluster or data centre to which the others keep links: a relay and a
+ * spare.
+ */
+export const RELAYS_PER_CLUSTER = 2;
+/**
+ * Maximum number of ranks that are called directly, which is faster than relaying for small groups.
+ */
+export const MAX_DIRECT_RANKS = 16;
 
-const inParts = (ranks: readonly number[], parts: number): number[][] =>
+const splitEvenly = (ranks: readonly number[], parts: number): number[][] =>
   Array.from({ length: parts }, (_, at) =>
     ranks.slice(
       Math.floor((at * ranks.length) / parts),
@@ -42,13 +49,13 @@
   );
 
 const clustersOf = (ranks: readonly number[]): DataCentre =>
-  ranks.length <= UNCLUSTERED
+  ranks.length <= MAX_UNCLUSTERED_RANKS
     ? ranks.map((rank) => [rank])
-    : inParts(ranks, Math.ceil(Math.sqrt(ranks.length)));
+    : splitEvenly(ranks, Math.ceil(Math.sqrt(ranks.length)));
 
 /**
- * Arranges a group's members. A machine that took another's place has its rank, and both are listed; the rank is
- * called once.
+ * Arranges a group's members. A rank whose VM was replaced is listed for both VMs; it is called
+ * once.
  */
 export const buildTree = (members: readonly TreeMember[]): GroupTree => {
   const byDataCentre = new Map<string, number[]>();
@@ -61,56 +68,67 @@
     .map(([, ranks]) => clustersOf([...ranks].sort((a, b) => a - b)));
 };
 
-/** Ranks that may call this one, in the order in which they are preferred: its agent links to them. */
+/**
+ * Returns the ranks that may relay calls to this one, in order of preference; its agent keeps links
+ * to them.
+ */
 export const relaysOf = (
   tree: GroupTree,
   own: number,
   isUp: (rank: number) => boolean,
 ): number[] => {
-  const lowest = (ranks: readonly number[]): number[] => ranks.filter(isUp).slice(0, RELAYS);
+  const lowest = (ranks: readonly number[]): number[] =>
+    ranks.filter(isUp).slice(0, RELAYS_PER_CLUSTER);
   const dataCentre = tree.find((clusters) => clusters.some((ranks) => ranks.includes(own)));
   const cluster = dataCentre?.find((ranks) => ranks.includes(own));
   if (!dataCentre || !cluster) return [];
-  const ofCluster = lowest(cluster);
-  const isRelay = ofCluster.includes(own);
-  const others = isRelay ? [...ofCluster, ...lowest(dataCentre.flat())] : ofCluster;
+  const lowestOfCluster = lowest(cluster);
+  const isRelay = lowestOfCluster.includes(own);
+  const others = isRelay ? [...lowestOfCluster, ...lowest(dataCentre.flat())] : lowestOfCluster;
   return [...new Set(others)].filter((rank) => rank !== own);
 };
 
 const leaf = (rank: number): Route => ({ rank, below: [] });
 
-/** What routes are made for. */
+/** Options of `routesTo`. */
 export interface RoutesOptions {
   /** The rank whose agent makes the call. */
   own: number;
-  /** Ranks that the call is for, without the own. */
+  /** Ranks to be called, without the caller's own. */
   wanted: ReadonlySet<number>;
-  /** Whether a rank's agent is linked here; the others in its cluster then take it for up, too. */
+  /**
+   * Whether a rank's agent is linked to the caller; the other ranks of its cluster are assumed to
+   * be linked to it, too.
+   */
   isLinked: (rank: number) => boolean;
-  /** Whether a linked agent is trusted to pass calls on: it was not silent of late. */
-  isSound: (rank: number) => boolean;
+  /** Whether a linked agent may relay calls: it has not failed to answer recently. */
+  isResponsive: (rank: number) => boolean;
 }
 
 /**
- * Routes to all wanted ranks, each exactly once. A rank that isn't sound has nobody below it, so that it
- * costs nobody but itself; where no relay is sound, the caller reaches the ranks directly.
+ * Returns routes to all wanted ranks, each exactly once. A rank that isn't responsive relays to
+ * none, so that only its own answer is lost. Where no relay is responsive, the caller calls the
+ * ranks directly.
  */
 export const routesTo = (tree: GroupTree, options: RoutesOptions): Route[] => {
-  const { own, wanted, isLinked, isSound } = options;
+  const { own, wanted, isLinked, isResponsive } = options;
   const direct: Route[] = [];
 
-  // The agents to which the others keep links: the lowest that are up, as `relaysOf` chooses them.
-  const headOf = (ranks: readonly number[]): number | undefined =>
+  // Chooses among the agents to which the others keep links: the lowest that are up, as in
+  // `relaysOf`.
+  const relayOf = (ranks: readonly number[]): number | undefined =>
     ranks
       .filter((rank) => rank === own || isLinked(rank))
-      .slice(0, RELAYS)
-      .find((rank) => rank !== own && wanted.has(rank) && isSound(rank));
+      .slice(0, RELAYS_PER_CLUSTER)
+      .find((rank) => rank !== own && wanted.has(rank) && isResponsive(rank));
 
-  /** Members of a cluster as seen by the agent that calls them, which is in it or calls its head. */
-  const ofCluster = (ranks: readonly number[], caller: number): Route[] => {
+  /**
+   * Routes from `caller`, which is in the cluster or calls its relay, to the members of a cluster.
+   */
+  const routesToCluster = (ranks: readonly number[], caller: number): Route[] => {
     const called = ranks.filter((rank) => rank !== caller && wanted.has(rank));
     if (ranks.includes(caller)) return called.map(leaf);
-    const head = headOf(ranks);
+    const head = relayOf(ranks);
     if (head === undefined) {
       direct.push(...called.map(leaf));
       return [];
@@ -118,25 +136,26 @@
     return [{ rank: head, below: called.filter((rank) => rank !== head).map(leaf) }];
   };
 
-  const ofDataCentre = (clusters: DataCentre): Route[] => {
+  const routesToDataCentre = (clusters: DataCentre): Route[] => {
     const below = (caller: number): Route[] =>
-      clusters.flatMap((ranks) => ofCluster(ranks, caller));
+      clusters.flatMap((ranks) => routesToCluster(ranks, caller));
     const ranks = clusters.flat();
-    // The caller hands its own data centre on like the others, or it would be called by all clusters of that.
+    // The caller's own data centre is also relayed if it has clusters; otherwise the relays of all
+    // of its clusters would answer to the caller.
     const isClustered = clusters.length < ranks.length;
     if (ranks.includes(own) && !isClustered) return below(own);
-    const head = headOf(ranks);
+    const head = relayOf(ranks);
     return head === undefined ? below(own) : [{ rank: head, below: below(head) }];
   };
 
-  const routes = tree.flatMap(ofDataCentre);
+  const routes = tree.flatMap(routesToDataCentre);
   const placed = new Set(tree.flat(2));
   const unplaced = [...wanted].filter((rank) => !placed.has(rank)).map(leaf);
   return [...routes, ...direct, ...unplaced];
 };
 
-/** Ranks of a route, its own first. */
+/** Returns all ranks of a route, its own first. */
 export const ranksOf = ({ rank, below }: Route): number[] => [rank, ...below.flatMap(ranksOf)];
 
-/** A call of each rank by the caller itself. */
+/** Returns routes on which the caller calls each rank itself. */
 export const directRoutes = (ranks: Iterable<number>): Route[] => [...ranks].map(leaf);
--- a/packages/rank-groups/src/tree/packing.ts
+++ b/packages/rank-groups/src/tree/packing.ts
@@ -1,28 +1,32 @@
 /**
- * Long lists of small whole numbers as bytes. Counts and maps of a group of 192 ranks are thousands of
- * numbers; as CBOR arrays they take 8 to 17 KB, which an agent's link of 4 Mbit/s carries in 15 to 32 ms.
+ * Encodes long lists of small whole numbers as bytes. Counts and maps of a group of 192 ranks are
+ * thousands of numbers. As CBOR arrays they take 8 to 17 KB, which an agent's link of 4 Mbit/s
+ * transfers in 15 to 32 ms.
  */
 
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 
 const PAYLOAD_BITS = 7;
-const MORE = 0x80;
+const CONTINUATION_BIT = 0x80;
 const BASE = 2 ** PAYLOAD_BITS;
 /** Values up to 2^53 take at most eight bytes of seven bits. */
-const MOST_BYTES = 8;
-/** Fastest level: maps shrink to half with it, and the better levels win a few per cent more. */
-const DEFLATE = { level: 1 };
-/** Largest list that is unpacked, in bytes: a peer's frame must not fill this process's memory. */
+const MAX_BYTES_PER_NUMBER = 8;
+/** Fastest level: it halves the size of maps, and higher levels save only a few per cent more. */
+const DEFLATE_OPTIONS = { level: 1 };
+/**
+ * Maximum size of a list after inflating, in bytes: a peer's frame must not exhaust this process's
+ * memory.
+ */
 const MAX_UNPACKED_BYTES = 1_048_576;
 
-/** Packs whole numbers from 0, seven bits a byte, the lowest first. */
+/** Packs non-negative whole numbers, seven bits a byte, lowest bits first. */
 export const packNumbers = (numbers: readonly number[]): Uint8Array => {
-  const bytes = new Uint8Array(numbers.length * MOST_BYTES);
+  const bytes = new Uint8Array(numbers.length * MAX_BYTES_PER_NUMBER);
   let length = 0;
   for (const number of numbers) {
     let rest = number;
     while (rest >= BASE) {
-      bytes[length] = (rest % BASE) + MORE;
+      bytes[length] = (rest % BASE) + CONTINUATION_BIT;
       length += 1;
       rest = Math.floor(rest / BASE);
     }
@@ -32,14 +36,14 @@
   return bytes.slice(0, length);
 };
 
-/** Unpacks what `packNumbers` made; undefined when the bytes end within a number. */
+/** Unpacks the output of `packNumbers`; undefined when the bytes end within a number. */
 export const unpackNumbers = (bytes: Uint8Array): number[] | undefined => {
   const numbers: number[] = [];
   let number = 0;
   let factor = 1;
   for (const byte of bytes) {
-    number += (byte % MORE) * factor;
-    if (byte >= MORE) {
+    number += (byte % CONTINUATION_BIT) * factor;
+    if (byte >= CONTINUATION_BIT) {
       factor *= BASE;
     } else {
       numbers.push(number);
@@ -50,11 +54,11 @@
   return factor === 1 ? numbers : undefined;
 };
 
-/** Packs numbers that repeat, as those of maps do, into fewer bytes. */
+/** Packs and deflates numbers that repeat, such as those of maps. */
 export const deflateNumbers = (numbers: readonly number[]): Uint8Array =>
-  deflateRawSync(packNumbers(numbers), DEFLATE);
+  deflateRawSync(packNumbers(numbers), DEFLATE_OPTIONS);
 
-/** Undoes `deflateNumbers`; undefined when the bytes aren't its. */
+/** Decodes the output of `deflateNumbers`; undefined when the bytes are invalid. */
 export const inflateNumbers = (bytes: Uint8Array): number[] | undefined => {
   try {
     return unpackNumbers(inflateRawSync(bytes, { maxOutputLength: MAX_UNPACKED_BYTES }));
--- a/packages/rank-groups/src/tree/rank-answers.ts
+++ b/packages/rank-groups/src/tree/rank-answers.ts
@@ -1,42 +1,47 @@
-/** What agents answer each other along a tree: shapes on links, and how answers are joined. */
+/**
+ * Answers to calls along the tree: their types, their encoding on links, and how they are joined.
+ */
 
 import { isNumber, isNumbers, isObject } from '@plantaindrum/common';
 import type { OrderOutcome, RankPlacement, RankReport } from '../types.js';
 import { packNumbers, unpackNumbers } from './packing.js';
 import type { TreeMethod } from './tree-calls.js';
 
-/** `unknown-base`: the rank's agent doesn't have the map that a difference applies to. */
+/** `unknown-base`: the rank's agent doesn't have the map to which a delta applies. */
 export type RankOutcome = OrderOutcome | 'unknown-base';
 
-/** Ranks by how an order ended there. */
+/** Ranks by the outcome of an order. */
 export type RankOutcomes = Partial<Record<RankOutcome, number[]>>;
 
-/** What one rank holds. */
+/** The experts of one rank. */
 export interface HeldExperts {
   rank: number;
   held: RankPlacement;
 }
 
-/** What ranks have to tell: their newest reports, and the sum of what they counted since they were last asked. */
-export interface RankNews {
+/**
+ * Telemetry of ranks: their latest reports, and the sum of their selection counts since the last
+ * poll.
+ */
+export interface RankTelemetry {
   reports: RankReport[];
   picks: number[];
 }
 
-/** Answers by the name of what is asked. */
+/** Answer types by method name. */
 export interface RankAnswers {
   order: RankOutcomes;
   prepare: RankOutcomes;
-  /** Waits until the rank has copied a version. */
+  /** Waits until the rank has prepared a version. */
   prepared: RankOutcomes;
-  /** Takes note of the map in use, to which later ones are told as differences. */
+  /** Caches the map in use, to which later ones are sent as deltas. */
   'map-in-use': RankOutcomes;
-  /** Takes what the coordinator's agent has read of the list of nodes. */
+  /** Applies records of the node registry that the coordinator's agent has read. */
   nodes: RankOutcomes;
-  /** A report that is read now. */
+  /** Reads a current report. */
   report: RankReport[];
   placement: HeldExperts[];
-  news: RankNews;
+  news: RankTelemetry;
 }
 
 const OUTCOMES: readonly RankOutcome[] = ['done', 'refused', 'no-answer', 'unknown-base'];
@@ -66,29 +71,32 @@
   return joined;
 };
 
-const NOTHING = -1;
+const ABSENT = -1;
 
-/** A report as numbers: 192 of them with their names are 50 KB, a tenth of a second on a narrow link. */
+/**
+ * Encodes a report as an array. With the names of their fields, 192 reports take 50 KB, a tenth of
+ * a second on a narrow link.
+ */
 const reportToWire = (report: RankReport): unknown[] => {
   const { group, rank, size, startedAt, epoch, isOpen, step, map, prepared, armed, held } = report;
-  const armedFor = [armed?.version ?? NOTHING, armed?.step ?? NOTHING];
-  const state = [prepared ?? NOTHING, ...armedFor, held ?? NOTHING, report.pace];
+  const armedFor = [armed?.version ?? ABSENT, armed?.step ?? ABSENT];
+  const state = [prepared ?? ABSENT, ...armedFor, held ?? ABSENT, report.pace];
   return [group, rank, size, startedAt, epoch, isOpen ? 1 : 0, step, map, ...state];
 };
 
-const given = (value: number): number | undefined => (value === NOTHING ? undefined : value);
+const optional = (value: number): number | undefined => (value === ABSENT ? undefined : value);
 
 const reportFromWire = (value: unknown): RankReport | undefined => {
   if (!Array.isArray(value) || typeof value[0] !== 'string') return undefined;
   const [group, ...numbers] = value as [string, ...unknown[]];
   if (!isNumbers(numbers) || numbers.length < 12) return undefined;
   const [rank = 0, size = 0, startedAt = 0, epoch = 0, isOpen = 0, step = 0, map = 0] = numbers;
-  const [prepared = NOTHING, version = NOTHING, armedStep = NOTHING] = numbers.slice(7);
-  const [held = NOTHING, pace = 1] = numbers.slice(10);
+  const [prepared = ABSENT, version = ABSENT, armedStep = ABSENT] = numbers.slice(7);
+  const [held = ABSENT, pace = 1] = numbers.slice(10);
   return {
     ...{ group, startedAt, epoch, rank, size, isOpen: isOpen === 1, step, map },
-    ...{ prepared: given(prepared), held: given(held), pace },
-    armed: version === NOTHING ? undefined : { version, step: armedStep },
+    ...{ prepared: optional(prepared), held: optional(held), pace },
+    armed: version === ABSENT ? undefined : { version, step: armedStep },
   };
 };
 
@@ -107,14 +115,14 @@
   return { rank, held: { epoch, version, experts } };
 };
 
-/** Adds counts one by one. */
-const sumOf = (a: readonly number[], b: readonly number[]): number[] => {
+/** Adds counts element by element; an empty list counts as zeros. */
+const addCounts = (a: readonly number[], b: readonly number[]): number[] => {
   if (a.length === 0) return [...b];
   if (b.length === 0) return [...a];
   return a.map((n, at) => n + (b[at] ?? 0));
 };
 
-const newsFromWire = (value: unknown): RankNews | undefined => {
+const telemetryFromWire = (value: unknown): RankTelemetry | undefined => {
   if (!isObject(value) || !(value.picks instanceof Uint8Array)) return undefined;
   const reports = readList(value.reports, reportFromWire);
   const picks = unpackNumbers(value.picks);
@@ -122,23 +130,23 @@
 };
 
 /** The parts of a method that don't depend on the agent that serves it. */
-export type AnswerShape<Answer> = Omit<TreeMethod<Answer>, 'run'>;
+export type AnswerCodec<Answer> = Omit<TreeMethod<Answer>, 'run'>;
 
-const outcomes: AnswerShape<RankOutcomes> = {
+const outcomesCodec: AnswerCodec<RankOutcomes> = {
   read: readOutcomes,
   join: joinOutcomes,
   ranks: (answer) => OUTCOMES.flatMap((outcome) => answer[outcome] ?? []),
 };
 
-/** How each kind of answer is written, read and joined. */
-export const answerShapes: {
-  readonly [Name in keyof RankAnswers]: AnswerShape<RankAnswers[Name]>;
+/** Encoding, decoding and joining of each kind of answer. */
+export const answerCodecs: {
+  readonly [Name in keyof RankAnswers]: AnswerCodec<RankAnswers[Name]>;
 } = {
-  order: outcomes,
-  prepare: outcomes,
-  prepared: outcomes,
-  'map-in-use': outcomes,
-  nodes: outcomes,
+  order: outcomesCodec,
+  prepare: outcomesCodec,
+  prepared: outcomesCodec,
+  'map-in-use': outcomesCodec,
+  nodes: outcomesCodec,
   report: {
     read: (value) => readList(value, reportFromWire),
     write: (reports) => reports.map(reportToWire),
@@ -152,14 +160,14 @@
     ranks: (answer) => answer.map(({ rank }) => rank),
   },
   news: {
-    read: newsFromWire,
+    read: telemetryFromWire,
     write: ({ reports, picks }) => ({
       reports: reports.map(reportToWire),
       picks: packNumbers(picks),
     }),
     join: (parts) => ({
       reports: parts.flatMap(({ reports }) => reports),
-      picks: parts.reduce<number[]>((sum, { picks }) => sumOf(sum, picks), []),
+      picks: parts.reduce<number[]>((sum, { picks }) => addCounts(sum, picks), []),
     }),
     ranks: ({ reports }) => reports.map(({ rank }) => rank),
   },
--- a/packages/rank-groups/src/tree/rank-methods.ts
+++ b/packages/rank-groups/src/tree/rank-methods.ts
@@ -1,83 +1,84 @@
-/** The agent's part in calls along a tree: what its own rank does and answers. */
+/** Handles calls along the tree for the agent's own rank. */
 
 import { isObject, sleep } from '@plantaindrum/common';
 import type { Clock } from '@plantaindrum/common';
 import { readPush } from '@plantaindrum/mirror';
 import type { PeerPush } from '@plantaindrum/mirror';
-import { AGAIN_MS } from '../change/group-port.js';
-import type { PlacementBook } from '../links/placement-deltas.js';
-import { readOrder, readPreparation } from '../links/shapes.js';
+import { RETRY_DELAY_MS } from '../change/group-port.js';
+import type { PlacementCache } from '../links/placement-deltas.js';
+import { readOrder, readVersionedMap } from '../links/shapes.js';
 import type { RankMember } from '../member.js';
 import type { OrderOutcome, RankOrder } from '../types.js';
-import { answerShapes } from './rank-answers.js';
+import { answerCodecs } from './rank-answers.js';
 import type { RankAnswers, RankOutcome, RankOutcomes } from './rank-answers.js';
 import type { TreeMethods } from './tree-calls.js';
 
 /** Options of `createRankMethods`. */
 export interface RankMethodsOptions {
   member: () => RankMember | undefined;
-  /** Maps that this agent knows, by which differences are told. */
-  book: PlacementBook;
-  /** Takes what another agent has read of the list of nodes. */
+  /** Maps that this agent knows, to which received deltas apply. */
+  placementCache: PlacementCache;
+  /** Handles records of the node registry that another agent has read. */
   onNodes: (push: PeerPush) => void;
   clock: Clock;
 }
 
-/** Part of the caller's time in which an engine may be told once more, or be waited for. */
-const OWN_TIME = 0.8;
+/** Fraction of the call's timeout in which the engine may be retried or waited for. */
+const LOCAL_TIME_FRACTION = 0.8;
 
 const asOutcomes = (outcome: RankOutcome, rank: number): RankOutcomes => ({ [outcome]: [rank] });
 
-/** Creates the methods; a rank whose engine has not told its number says nothing. */
+/** Creates the methods; they return nothing until the engine has reported its rank. */
 export const createRankMethods = (options: RankMethodsOptions): TreeMethods<RankAnswers> => {
-  const { member, book, clock } = options;
+  const { member, placementCache, clock } = options;
 
   const ownRank = (): number | undefined => member()?.lastReport()?.rank;
 
   /**
-   * Tells the engine until it answers. Of 192 ranks some leave an order unanswered whenever one in a
-   * hundred is; told again from afar, every change would take another round for each of these.
+   * Repeats an order until the engine answers. When one order in a hundred goes unanswered, some of
+   * 192 ranks are affected each time. If the coordinator repeated it, every change would take
+   * another round of calls.
    */
-  const insist = async (order: RankOrder, timeoutMs: number): Promise<OrderOutcome> => {
-    const giveUpAt = clock.monotonic() + timeoutMs * OWN_TIME;
+  const orderUntilAnswered = async (order: RankOrder, timeoutMs: number): Promise<OrderOutcome> => {
+    const giveUpAt = clock.monotonic() + timeoutMs * LOCAL_TIME_FRACTION;
     for (;;) {
       const outcome = (await member()?.order(order)) ?? 'no-answer';
       if (outcome !== 'no-answer' || clock.monotonic() > giveUpAt) return outcome;
-      await sleep(clock, AGAIN_MS);
+      await sleep(clock, RETRY_DELAY_MS);
     }
   };
 
   const giveOrder = async (args: unknown, timeoutMs: number): Promise<RankOutcome> => {
     const order = readOrder(args);
-    return order ? insist(order, timeoutMs) : 'refused';
+    return order ? orderUntilAnswered(order, timeoutMs) : 'refused';
   };
 
   const prepare = async (args: unknown, timeoutMs: number): Promise<RankOutcome> => {
-    const asked = readPreparation(args);
-    if (!asked) return 'refused';
-    const { epoch, version } = asked;
-    const placement = book.resolve(epoch, asked.map);
+    const request = readVersionedMap(args);
+    if (!request) return 'refused';
+    const { epoch, version } = request;
+    const placement = placementCache.decode(epoch, request.map);
     if (!placement) return 'unknown-base';
-    book.put(epoch, version, placement);
-    return insist({ op: 'prepare', epoch, version, placement }, timeoutMs);
+    placementCache.put(epoch, version, placement);
+    return orderUntilAnswered({ op: 'prepare', epoch, version, placement }, timeoutMs);
   };
 
-  const noteMapInUse = async (args: unknown): Promise<RankOutcome> => {
-    const told = readPreparation(args);
-    const placement = told && book.resolve(told.epoch, told.map);
-    if (!told || !placement) return 'unknown-base';
-    book.put(told.epoch, told.version, placement);
+  const cacheMapInUse = async (args: unknown): Promise<RankOutcome> => {
+    const request = readVersionedMap(args);
+    const placement = request && placementCache.decode(request.epoch, request.map);
+    if (!request || !placement) return 'unknown-base';
+    placementCache.put(request.epoch, request.version, placement);
     return 'done';
   };
 
   const awaitPrepared = async (args: unknown, timeoutMs: number): Promise<RankOutcome> => {
     const version = isObject(args) && typeof args.version === 'number' ? args.version : undefined;
     if (version === undefined) return 'refused';
-    const isPrepared = await member()?.awaitPrepared(version, timeoutMs * OWN_TIME);
+    const isPrepared = await member()?.awaitPrepared(version, timeoutMs * LOCAL_TIME_FRACTION);
     return isPrepared ? 'done' : 'no-answer';
   };
 
-  const takeNodes = async (args: unknown): Promise<RankOutcome> => {
+  const applyNodes = async (args: unknown): Promise<RankOutcome> => {
     const push = readPush(args);
     if (push) options.onNodes(push);
     return push ? 'done' : 'refused';
@@ -101,19 +102,22 @@
     return rank === undefined || !held ? undefined : [{ rank, held }];
   };
 
-  const news = async () => {
-    const [newest, picks = []] = await Promise.all([member()?.newsReport(), member()?.takePicks()]);
-    return newest && { reports: [newest], picks };
+  const telemetry = async () => {
+    const [newest, selectionCounts = []] = await Promise.all([
+      member()?.telemetryReport(),
+      member()?.takeSelectionCounts(),
+    ]);
+    return newest && { reports: [newest], picks: selectionCounts };
   };
 
   return {
-    order: { ...answerShapes.order, run: byRank(giveOrder) },
-    prepare: { ...answerShapes.prepare, run: byRank(prepare) },
-    prepared: { ...answerShapes.prepared, run: byRank(awaitPrepared) },
-    'map-in-use': { ...answerShapes['map-in-use'], run: byRank(noteMapInUse) },
-    nodes: { ...answerShapes.nodes, run: byRank(takeNodes) },
-    report: { ...answerShapes.report, run: report },
-    placement: { ...answerShapes.placement, run: placement },
-    news: { ...answerShapes.news, run: news },
+    order: { ...answerCodecs.order, run: byRank(giveOrder) },
+    prepare: { ...answerCodecs.prepare, run: byRank(prepare) },
+    prepared: { ...answerCodecs.prepared, run: byRank(awaitPrepared) },
+    'map-in-use': { ...answerCodecs['map-in-use'], run: byRank(cacheMapInUse) },
+    nodes: { ...answerCodecs.nodes, run: byRank(applyNodes) },
+    report: { ...answerCodecs.report, run: report },
+    placement: { ...answerCodecs.placement, run: placement },
+    news: { ...answerCodecs.news, run: telemetry },
   };
 };
--- a/packages/rank-groups/src/types.ts
+++ b/packages/rank-groups/src/types.ts
@@ -1,78 +1,80 @@
-/** Expert groups whose engines take orders one by one and don't compare maps. */
+/**
+ * Types of expert groups whose engines accept single orders and don't compare maps with each other.
+ */
 
-/** Experts that each rank holds, by set of layers: `placement[set][rank]`. */
+/** Experts of each rank in each set of layers: `placement[set][rank]`. */
 export type Placement = number[][][];
 
-/** The fixed shape of a group. */
+/** The fixed dimensions of a group. */
 export interface GroupShape {
-  /** Sets of layers that share one placement. */
+  /** Number of sets of layers; the layers of a set share one placement. */
   sets: number;
   /** Experts in each set. */
   experts: number;
-  /** Experts that a rank may hold in each set. */
+  /** Slots for experts at a rank, in each set. */
   places: number;
-  /** Experts that one change may bring new to a rank, in each set. */
+  /** Maximum number of new experts that a rank can receive in one change, in each set. */
   spare: number;
-  /** Time in which a rank copies one expert, in milliseconds. */
+  /** Time a rank takes to copy one expert, in ms. */
   copyMs: number;
-  /** Longest pause between two events that callers of the group's streams want, in ms, where it is declared. */
+  /** Target for the longest pause between two events of a caller's stream, in ms, if declared. */
   targetPauseMs?: number | undefined;
 }
 
-/** One rank as its engine reports it. */
+/** State of one rank as its engine reports it. */
 export interface RankReport {
   group: string;
-  /** Unix time at which the engine started, in milliseconds; 0 where the platform doesn't tell. */
+  /** Unix time of the engine's start, in ms; 0 when the platform doesn't provide it. */
   startedAt: number;
-  /** Grows each time the group forms anew; map, preparations and holds are gone then. */
+  /** Increases each time the group forms again, which discards its map, preparations and holds. */
   epoch: number;
   rank: number;
   size: number;
   isOpen: boolean;
-  /** The last pass that was begun. */
+  /** Number of the last pass that has begun. */
   step: number;
   /** Version of the map in use. */
   map: number;
-  /** The one version whose experts are all copied and that may be armed. */
+  /** The version whose experts are all copied and that may be armed. */
   prepared: number | undefined;
   armed: { version: number; step: number } | undefined;
-  /** Time of its own work over the usual; above 1 the rank is slow. */
+  /** Slowdown: the rank's own compute time relative to its baseline; above 1 the rank is slow. */
   pace: number;
-  /** The group does not begin this pass until this rank is told to go on. */
+  /** The group does not begin this pass before this rank receives `go`. */
   held: number | undefined;
 }
 
-/** How often each expert was chosen by a rank's requests since the engine started. */
+/** Selection counts of each expert at one rank since the engine started. */
 export interface ExpertCounts {
-  /** Start of the engine, from which it counts. */
+  /** Unix time of the engine's start, in ms. */
   startedAt: number;
   epoch: number;
   step: number;
-  /** Set by set. */
+  /** Counts of all experts, set by set. */
   counts: readonly number[];
 }
 
-/** The experts that one rank holds now. */
+/** Experts that one rank currently holds. */
 export interface RankPlacement {
   epoch: number;
   version: number;
-  /** Experts by set. */
+  /** Experts of each set. */
   experts: readonly (readonly number[])[];
 }
 
-/** An order to one rank. Each names the epoch that it was made for, and is refused in another. */
+/** An order to one rank. It names the epoch for which it was made and is refused in any other. */
 export type RankOrder =
   | { op: 'prepare'; epoch: number; version: number; placement: Placement }
-  /** Use the version from this pass on. */
+  /** Uses the version from this pass on. */
   | { op: 'arm'; epoch: number; version: number; step: number }
   | { op: 'disarm'; epoch: number; version: number }
   | { op: 'hold'; epoch: number; step: number }
   | { op: 'go'; epoch: number; step: number };
 
-/** `no-answer`: it may have been carried out, or may be many seconds later. */
+/** `no-answer`: the order may have been carried out, or may still be, many seconds later. */
 export type OrderOutcome = 'done' | 'refused' | 'no-answer';
 
-/** The engine of one rank. */
+/** Client of one rank's engine. */
 export interface RankEngine {
   report(): Promise<RankReport | undefined>;
   counts(): Promise<ExpertCounts | undefined>;
@@ -80,5 +82,8 @@
   order(order: RankOrder): Promise<OrderOutcome>;
 }
 
-/** What the operator declared to matter more. */
+/**
+ * Priority declared by the operator: even load (`skew`), or few copied experts
+ * (`rebalancing-cost`).
+ */
 export type Weighs = 'skew' | 'rebalancing-cost';
--- a/packages/rank-groups/test/engine-finder.test.ts
+++ b/packages/rank-groups/test/engine-finder.test.ts
@@ -9,15 +9,15 @@
 const start = () => {
   const clock = createManualClock();
   let epoch = 1;
-  let asked = 0;
+  let queries = 0;
   let running = 0;
-  let most = 0;
+  let maxRunning = 0;
   const engineOf = (rank: number): RankEngine =>
     ({
       report: async () => {
-        asked += 1;
+        queries += 1;
         running += 1;
-        most = Math.max(most, running);
+        maxRunning = Math.max(maxRunning, running);
         await sleep(clock, ANSWER_MS);
         running -= 1;
         return { group: 'g', epoch, rank } as RankReport;
@@ -37,36 +37,37 @@
     for (let ms = 0; ms < 2_000 && !found; ms += 10) await clock.advance(10);
     return found?.engine;
   };
-  const formAnew = (): void => {
+  const formAgain = (): void => {
     epoch += 1;
   };
-  return { clock, find, formAnew, asked: () => asked, most: () => most };
+  return { clock, find, formAgain, queries: () => queries, maxRunning: () => maxRunning };
 };
 
-describe('finding the engine of a rank whose agent is silent', () => {
-  // Streams wait while a pass is held for a rank whose agent was killed. All 192 engines were asked at once, their
-  // answers came too late over the agent's link, and the one that was wanted was not found.
-  it('asks a few at a time', async () => {
+describe('finding the engine of a rank whose agent is not linked', () => {
+  // Streams wait while a pass is held for a rank whose agent was killed. With all 192 engines
+  // queried at once, the answers came too late over the agent's link, and the wanted engine was not
+  // found.
+  it('queries a few engines at a time', async () => {
     const finder = start();
     expect(await finder.find(150)).to.not.equal(undefined);
-    expect(finder.most()).to.be.at.most(12);
+    expect(finder.maxRunning()).to.be.at.most(12);
   });
 
-  it('asks each only once while the group stays as it is', async () => {
+  it('queries each engine only once within an epoch', async () => {
     const finder = start();
     await finder.find(150);
     await finder.clock.advance(1_000);
     await finder.find(3);
-    expect(finder.asked()).to.equal(RANKS);
+    expect(finder.queries()).to.equal(RANKS);
   });
 
-  // An address may be another rank's in the next epoch.
-  it('asks all anew when the group has formed anew', async () => {
+  // An address may belong to another rank in the next epoch.
+  it('queries all engines again after the group has formed again', async () => {
     const finder = start();
     await finder.find(150);
-    finder.formAnew();
+    finder.formAgain();
     await finder.clock.advance(1_000);
     expect(await finder.find(150)).to.not.equal(undefined);
-    expect(finder.asked()).to.equal(2 * RANKS);
+    expect(finder.queries()).to.equal(2 * RANKS);
   });
 });
--- a/packages/rank-groups/test/fakes/fake-ranks.ts
+++ b/packages/rank-groups/test/fakes/fake-ranks.ts
@@ -1,4 +1,6 @@
-/** A group of ranks that takes orders as the users' engines do, on a clock that tests drive. */
+/**
+ * A fake group of ranks that handles orders like the users' engines, on a clock that tests control.
+ */
 
 import { sleep } from '@plantaindrum/common';
 import type { ManualClock } from '@plantaindrum/common';
@@ -12,8 +14,10 @@
   RankReport,
 } from '../../src/index.js';
 
-/** What becomes of one order on its way; `late` is carried out unanswered, `slow` is answered. */
-export type Fate = 'answered' | 'lost' | 'unanswered' | 'late' | 'slow';
+/**
+ * Fault of one order; `late` is carried out later without an answer, `slow` later with an answer.
+ */
+export type Fault = 'answered' | 'lost' | 'unanswered' | 'late' | 'slow';
 
 interface FakeRank {
   map: number;
@@ -27,32 +31,32 @@
 export interface FakeRanksOptions {
   size: number;
   clock: ManualClock;
-  /** Fate of the n-th order of all. */
-  fate: (n: number) => Fate;
-  /** How much later a late or slow order is carried out, in ms. */
+  /** Returns the fault of the n-th order. */
+  fault: (n: number) => Fault;
+  /** Delay of a late or slow order, in ms. */
   lateMs: number;
-  /** What a rank lists as its experts, by set; one expert of its own unless said otherwise. */
+  /** Experts of a rank by set; by default one expert of its own. */
   experts?: (rank: number) => number[][];
 }
 
 /** The fake group. */
 export interface FakeRanks {
-  /** A port for one coordinator; `isAlive` false: its orders go nowhere and nothing comes back. */
+  /** Returns a port for one coordinator. Once `isAlive` returns false, its calls never complete. */
   port(isAlive: () => boolean, isReachable?: (rank: number) => boolean): GroupPort;
-  /** What a rank holds, as its engine lists it. */
+  /** Returns the experts of a rank as its engine lists them. */
   placement(rank: number): RankPlacement;
   report(rank: number): RankReport;
   /** Begins the next pass unless a rank holds it. */
-  pass(): void;
+  beginPass(): void;
   step(): number;
-  /** Passes at whose begin two ranks had different maps. */
+  /** Passes that began while two ranks had different maps. */
   mixed(): number[];
-  /** The group forms anew: another epoch, map 0, nothing prepared. */
-  formAnew(): void;
+  /** Forms the group again: new epoch, map 0, nothing prepared. */
+  formAgain(): void;
   orders(): number;
 }
 
-const fresh = (): FakeRank => ({
+const initialRank = (): FakeRank => ({
   map: 0,
   prepared: undefined,
   highest: 0,
@@ -62,8 +66,8 @@
 
 /** Creates the fake group, open and with map 0. */
 export const createFakeRanks = (options: FakeRanksOptions): FakeRanks => {
-  const { size, clock, fate, lateMs, experts = (rank) => [[rank]] } = options;
-  let ranks = Array.from({ length: size }, fresh);
+  const { size, clock, fault, lateMs, experts = (rank) => [[rank]] } = options;
+  let ranks = Array.from({ length: size }, initialRank);
   let epoch = 1;
   let step = 10;
   let orders = 0;
@@ -78,7 +82,7 @@
   };
 
   const report = (at: number): RankReport => {
-    const rank = ranks[at] ?? fresh();
+    const rank = ranks[at] ?? initialRank();
     const { map, prepared, armed, held } = rank;
     const place = { group: 'g', startedAt: 0, epoch, rank: at, size, isOpen: true, pace: 1 };
     return { ...place, step, map, prepared, armed, held };
@@ -90,15 +94,15 @@
     isReachable: (rank: number) => boolean,
   ): Promise<OrderOutcome> => {
     orders += 1;
-    const what = fate(orders);
-    if (what === 'slow') await sleep(clock, lateMs);
-    if (what === 'lost' || !isReachable(at)) return 'no-answer';
-    if (what === 'late') {
+    const kind = fault(orders);
+    if (kind === 'slow') await sleep(clock, lateMs);
+    if (kind === 'lost' || !isReachable(at)) return 'no-answer';
+    if (kind === 'late') {
       clock.after(lateMs, () => apply(at, given));
       return 'no-answer';
     }
     const outcome = apply(at, given);
-    return what === 'unanswered' ? 'no-answer' : outcome;
+    return kind === 'unanswered' ? 'no-answer' : outcome;
   };
 
   const never = <T>(): Promise<T> => new Promise<T>(() => {});
@@ -123,7 +127,7 @@
         clock,
       ),
     report,
-    pass: () => {
+    beginPass: () => {
       if (ranks.some(({ held }) => held === step + 1)) return;
       step += 1;
       ranks.forEach((rank) => {
@@ -134,8 +138,8 @@
     },
     step: () => step,
     mixed: () => mixed,
-    formAnew: () => {
-      ranks = ranks.map(fresh);
+    formAgain: () => {
+      ranks = ranks.map(initialRank);
       epoch += 1;
     },
     orders: () => orders,
