--- a/packages/rank-groups/test/fakes/slow-group.ts
+++ b/packages/rank-groups/test/fakes/slow-group.ts
@@ -1,4 +1,6 @@
-/** A group's agents on links of little bandwidth, in one process on a clock that tests drive. */
+/**
+ * The agents of a group on links of low bandwidth, in one process on a clock that tests control.
+ */
 
 import { createMetrics, createSeededRandom, sleep } from '@plantaindrum/common';
 import type { EventLog, ManualClock } from '@plantaindrum/common';
@@ -6,9 +8,9 @@
 import type { CallOutcome, Link } from '@plantaindrum/link';
 import { createCoordinator } from '../../src/index.js';
 import type { GroupShape, RankEngine } from '../../src/index.js';
-import { createNewsReader } from '../../src/links/news-reader.js';
-import type { NewsReader } from '../../src/links/news-reader.js';
-import { createPlacementBook } from '../../src/links/placement-deltas.js';
+import { createTelemetryPoller } from '../../src/links/news-reader.js';
+import type { TelemetryPoller } from '../../src/links/news-reader.js';
+import { createPlacementCache } from '../../src/links/placement-deltas.js';
 import { createRankMember } from '../../src/member.js';
 import type { RankMember } from '../../src/member.js';
 import { buildTree, relaysOf } from '../../src/tree/group-tree.js';
@@ -21,21 +23,21 @@
 export interface SlowGroupOptions {
   ranks: number;
   dataCentres: number;
-  /** Bytes that an agent's link carries in a millisecond, each way. */
+  /** Bytes that an agent's link transfers in a millisecond, in each direction. */
   bytesPerMs: number;
   shape: GroupShape;
   group: FakeRanks;
   clock: ManualClock;
-  /** How often a rank has picked each expert, set by set. */
+  /** Selection counts of each expert at a rank, set by set. */
   counts: (rank: number) => number[];
   log: EventLog;
 }
 
 /** The agents of the group; rank 0 coordinates. */
 export interface SlowGroup {
-  /** Agents that take and send nothing; their engines go on. */
+  /** Agents that neither receive nor send; their engines continue. */
   frozen: Set<number>;
-  /** Bytes that have left each agent, and come to it. */
+  /** Bytes sent and received by each agent. */
   sent: readonly number[];
   received: readonly number[];
   close(): void;
@@ -43,7 +45,7 @@
 
 const DELAY_MS = 0.5;
 const ENGINE_MS = 4;
-/** Headers of a packet on the link. */
+/** Size of a packet's headers on the link. */
 const PACKET_BYTES = 60;
 
 /** Starts the agents, and the coordinator beside rank 0. */
@@ -55,34 +57,35 @@
   const received = all.map(() => 0);
   const freeAt = { up: all.map(() => 0), down: all.map(() => 0) };
   const members: RankMember[] = [];
-  const serve: ((args: unknown) => Promise<unknown>)[] = [];
+  const handlers: ((args: unknown) => Promise<unknown>)[] = [];
   const tree = buildTree(
     all.map((rank) => ({ rank, dataCentre: `dc-${rank % options.dataCentres}` })),
   );
 
-  const pass = async (way: 'up' | 'down', rank: number, bytes: number): Promise<void> => {
-    const free = Math.max(freeAt[way][rank] ?? 0, clock.monotonic()) + bytes / options.bytesPerMs;
-    freeAt[way][rank] = free;
+  const transmit = async (direction: 'up' | 'down', rank: number, bytes: number): Promise<void> => {
+    const free =
+      Math.max(freeAt[direction][rank] ?? 0, clock.monotonic()) + bytes / options.bytesPerMs;
+    freeAt[direction][rank] = free;
     await sleep(clock, free - clock.monotonic());
   };
 
-  const carry = async (from: number, to: number, value: unknown): Promise<void> => {
+  const deliver = async (from: number, to: number, value: unknown): Promise<void> => {
     const bytes = encodeFrame({ t: 'reply', seq: 1, ok: true, value }).length + PACKET_BYTES;
     sent[from] = (sent[from] ?? 0) + bytes;
     received[to] = (received[to] ?? 0) + bytes;
-    await pass('up', from, bytes);
+    await transmit('up', from, bytes);
     await sleep(clock, DELAY_MS);
-    await pass('down', to, bytes);
+    await transmit('down', to, bytes);
   };
 
   const call = (from: number, to: number, args: unknown, timeoutMs: number) =>
     new Promise<CallOutcome>((resolve) => {
       clock.after(timeoutMs, () => resolve({ outcome: 'lost' }));
       const run = async (): Promise<void> => {
-        await carry(from, to, args);
+        await deliver(from, to, args);
         if (frozen.has(to)) return;
-        const value = await serve[to]?.(args);
-        await carry(to, from, value);
+        const value = await handlers[to]?.(args);
+        await deliver(to, from, value);
         if (!frozen.has(from)) resolve({ outcome: 'answered', value });
       };
       void run();
@@ -122,28 +125,33 @@
     const member = createRankMember({
       engine: engineOf(rank),
       onReport: () => {},
-      isWatched: () => false,
+      needsFreshReports: () => false,
       ...{ clock, metrics, log: rank === 0 ? log : { event: () => {}, flush: () => {} } },
     });
-    const book = createPlacementBook();
-    const methods = createRankMethods({ member: () => member, book, onNodes: () => {}, clock });
+    const placementCache = createPlacementCache();
+    const methods = createRankMethods({
+      member: () => member,
+      placementCache,
+      onNodes: () => {},
+      clock,
+    });
     const linkTo = linkFrom(rank);
     const calls = createTreeCalls({ linkTo, methods });
     members.push(member);
-    serve.push(calls.serve);
-    return { member, book, methods, linkTo, calls };
+    handlers.push(calls.handle);
+    return { member, placementCache, methods, linkTo, calls };
   });
   const [first] = agents;
-  if (!first) throw new Error('a group has a rank');
+  if (!first) throw new Error('the group has no ranks');
 
   const rankPort = createRankPort({
     ...first,
     ownRank: () => 0,
     tree: () => tree,
-    direct: async () => undefined,
+    findEngine: async () => undefined,
     ...{ clock, metrics, log },
   });
-  let newsEveryMs = (): number => 0;
+  let telemetryIntervalMs = (): number => 0;
   const coordinator = createCoordinator({
     port: rankPort,
     ownRank: 0,
@@ -151,20 +159,20 @@
     weighs: 'skew',
     isLowest: () => true,
     untilLowest: async () => {},
-    knownPlacement: first.book.find,
-    newsEveryMs: () => newsEveryMs(),
+    knownPlacement: first.placementCache.find,
+    newsEveryMs: () => telemetryIntervalMs(),
     orderOwnFromAfar: (order) => port.order(0, order),
     ...{ clock, metrics, log },
     random: createSeededRandom(5),
   });
-  const news: NewsReader = createNewsReader({
-    untilCoordinating: async () => {},
-    news: rankPort.news,
+  const telemetryPoller: TelemetryPoller = createTelemetryPoller({
+    whenCoordinating: async () => {},
+    queryTelemetry: rankPort.telemetry,
     onReport: (report) => coordinator.onUpdate({ report, picks: [] }),
-    onPicks: (picks) => coordinator.onPicks(picks),
+    onSelectionCounts: (picks) => coordinator.onSelectionCounts(picks),
     clock,
   });
-  newsEveryMs = news.everyMs;
+  telemetryIntervalMs = telemetryPoller.intervalMs;
 
   return {
     frozen,
@@ -172,7 +180,7 @@
     received,
     close: () => {
       coordinator.close();
-      news.close();
+      telemetryPoller.close();
       members.forEach((member) => member.close());
     },
   };
--- a/packages/rank-groups/test/group-shape.test.ts
+++ b/packages/rank-groups/test/group-shape.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import { createManualClock, sleep } from '@plantaindrum/common';
-import { awaitShape, readToldShape } from '../src/links/group-shape.js';
+import { awaitShape, readShape } from '../src/links/group-shape.js';
 import type { GroupShape } from '../src/types.js';
 
 const shape: GroupShape = {
@@ -12,11 +12,11 @@
   targetPauseMs: 120,
 };
 
-/** All agents of a group start; the platform knows the shape after a while. */
+/** Starts all agents of a group; the platform knows the shape after `knownAfterMs`. */
 const startAll = (ranks: number, knownAfterMs: number) => {
   const clock = createManualClock();
   const known = new Map<number, GroupShape>();
-  const gone = new Set<number>();
+  const stopped = new Set<number>();
   let reads = 0;
   const read = async (): Promise<GroupShape | undefined> => {
     reads += 1;
@@ -24,26 +24,26 @@
     return clock.monotonic() >= knownAfterMs ? shape : undefined;
   };
   const lowest = (): number =>
-    Math.min(...Array.from({ length: ranks }, (_, n) => n).filter((n) => !gone.has(n)));
+    Math.min(...Array.from({ length: ranks }, (_, n) => n).filter((n) => !stopped.has(n)));
   const start = (rank: number): void => {
     void awaitShape({
       read,
-      ask: async () => known.get(lowest()),
+      request: async () => known.get(lowest()),
       rank,
       isLowest: () => lowest() === rank,
-      isStopped: () => gone.has(rank),
+      isStopped: () => stopped.has(rank),
       clock,
     }).then((found) => {
       if (found) known.set(rank, found);
     });
   };
-  return { clock, known, gone, start, reads: () => reads };
+  return { clock, known, stopped, start, reads: () => reads };
 };
 
 describe("a group's shape", () => {
-  // Sixty-three agents start four seconds before the operators have written what they want. Each asked the
-  // platform every one and a half seconds: some 190 calls, each paid for.
-  it('is read by few agents and told to the others', async () => {
+  // 63 agents start four seconds before the operators have written the intent. If each queried the
+  // platform every 1.5 seconds, that would be about 190 billed calls.
+  it('is read by a few agents, from which the others request it', async () => {
     const { clock, known, start, reads } = startAll(63, 4_000);
     for (let rank = 0; rank < 63; rank += 1) start(rank);
     await clock.advance(8_000);
@@ -51,10 +51,11 @@
     expect(reads()).to.be.at.most(20);
   });
 
-  // The agents of the lowest ranks never came up. The next one has nobody to ask, and reads it itself.
-  it('is read by the lowest that is there', async () => {
-    const { clock, known, gone, start } = startAll(12, 0);
-    [0, 1, 2, 3, 4].forEach((rank) => gone.add(rank));
+  // The agents of the lowest ranks never start. The next one has no other to request the shape from
+  // and reads it itself.
+  it('is read by the lowest rank whose agent runs', async () => {
+    const { clock, known, stopped, start } = startAll(12, 0);
+    [0, 1, 2, 3, 4].forEach((rank) => stopped.add(rank));
     for (let rank = 5; rank < 12; rank += 1) start(rank);
     await new Promise((resolve) => {
       setImmediate(resolve);
@@ -63,11 +64,11 @@
     expect(known.size).to.equal(7);
   });
 
-  it('is told whole or not at all', () => {
-    expect(readToldShape({ ...shape })).to.deep.equal(shape);
-    expect(readToldShape({ ...shape, targetPauseMs: undefined })?.sets).to.equal(8);
+  it('is accepted from another agent only if complete', () => {
+    expect(readShape({ ...shape })).to.deep.equal(shape);
+    expect(readShape({ ...shape, targetPauseMs: undefined })?.sets).to.equal(8);
     [undefined, 'x', {}, { ...shape, sets: '8' }, { ...shape, copyMs: NaN }].forEach((value) => {
-      expect(readToldShape(value)).to.equal(undefined);
+      expect(readShape(value)).to.equal(undefined);
     });
   });
 });
--- a/packages/rank-groups/test/group-tree.test.ts
+++ b/packages/rank-groups/test/group-tree.test.ts
@@ -1,6 +1,12 @@
 import { expect } from 'chai';
 import fc from 'fast-check';
-import { buildTree, ranksOf, relaysOf, RELAYS, routesTo } from '../src/tree/group-tree.js';
+import {
+  buildTree,
+  ranksOf,
+  relaysOf,
+  RELAYS_PER_CLUSTER,
+  routesTo,
+} from '../src/tree/group-tree.js';
 import type { GroupTree, Route } from '../src/tree/group-tree.js';
 
 const group = (ranks: number, dataCentres: number): GroupTree =>
@@ -17,41 +23,51 @@
 const others = (ranks: number, own: number): Set<number> =>
   new Set(Array.from({ length: ranks }, (_, rank) => rank).filter((rank) => rank !== own));
 
-/** Each agent that passes a call on, with those that it passes it on to. */
+/** Pairs of each relaying agent and an agent that it calls. */
 const hops = (own: number, routes: readonly Route[]): [number, number][] =>
   routes.flatMap(({ rank, below }) => [[own, rank] as [number, number], ...hops(rank, below)]);
 
 describe('the tree of a group', () => {
-  it('reaches every rank once, whichever agent calls and whichever are silent', () => {
+  it('reaches every rank once, whichever agent calls and whichever are unresponsive', () => {
     const silent = fc.uniqueArray(fc.nat(199), { maxLength: 40 });
     fc.assert(
-      fc.property(fc.nat(199), fc.integer({ min: 1, max: 6 }), silent, (own, halls, unsound) => {
-        const wanted = others(200, own);
-        const isSound = (rank: number): boolean => !unsound.includes(rank);
-        const routes = routesTo(group(200, halls), { own, wanted, isLinked: () => true, isSound });
-        const reached = routes.flatMap(ranksOf).sort((a, b) => a - b);
-        expect(reached).to.deep.equal([...wanted].sort((a, b) => a - b));
-        const relays = hops(own, routes).flatMap(([from]) => (from === own ? [] : [from]));
-        expect(relays.filter((rank) => !isSound(rank))).to.deep.equal([]);
-      }),
+      fc.property(
+        fc.nat(199),
+        fc.integer({ min: 1, max: 6 }),
+        silent,
+        (own, dataCentres, unresponsive) => {
+          const wanted = others(200, own);
+          const isResponsive = (rank: number): boolean => !unresponsive.includes(rank);
+          const routes = routesTo(group(200, dataCentres), {
+            own,
+            wanted,
+            isLinked: () => true,
+            isResponsive,
+          });
+          const reached = routes.flatMap(ranksOf).sort((a, b) => a - b);
+          expect(reached).to.deep.equal([...wanted].sort((a, b) => a - b));
+          const relays = hops(own, routes).flatMap(([from]) => (from === own ? [] : [from]));
+          expect(relays.filter((rank) => !isResponsive(rank))).to.deep.equal([]);
+        },
+      ),
       { seed: 11, numRuns: 300 },
     );
   });
 
-  // A relay that has no link to a rank could only say that it is missing. Machines that were removed stay in the
-  // list of nodes, and the lowest ranks of a cluster may be among them.
-  it('goes only where agents keep links, whichever machines are gone', () => {
+  // A relay without a link to a rank could only report it as missing. Removed VMs stay in the node
+  // registry, and the lowest ranks of a cluster may be among them.
+  it('relays only along links that agents keep, whichever VMs were removed', () => {
     const tree = group(192, 5);
-    const gone = fc.uniqueArray(fc.integer({ min: 1, max: 191 }), { maxLength: 120 });
+    const removedRanks = fc.uniqueArray(fc.integer({ min: 1, max: 191 }), { maxLength: 120 });
     fc.assert(
-      fc.property(gone, (removed) => {
+      fc.property(removedRanks, (removed) => {
         const isUp = (rank: number): boolean => !removed.includes(rank);
         const up = [...others(192, 0)].filter(isUp);
         const links = new Set(
           up.flatMap((rank) => relaysOf(tree, rank, isUp).map((relay) => `${relay}-${rank}`)),
         );
         const wanted = new Set(up);
-        const routes = routesTo(tree, { own: 0, wanted, isLinked: isUp, isSound: isUp });
+        const routes = routesTo(tree, { own: 0, wanted, isLinked: isUp, isResponsive: isUp });
         const relayed = hops(0, routes).filter(([from]) => from !== 0);
         expect(relayed.filter(([from, to]) => !links.has(`${from}-${to}`))).to.deep.equal([]);
         expect(routes.length).to.be.at.most(20);
@@ -60,8 +76,8 @@
     );
   });
 
-  // A machine is removed for good, and a new one takes its rank at another address. Both are listed.
-  it('has a rank once that two machines are listed for', () => {
+  // A VM is removed for good, and a new one takes its rank at another address. Both are listed.
+  it('contains a rank once when two VMs are listed for it', () => {
     const members = [0, 1, 1, 2].map((rank, at) => ({ rank, dataCentre: at === 2 ? 'b' : 'a' }));
     expect(buildTree(members)).to.deep.equal([[[0], [2]], [[1]]]);
   });
@@ -73,13 +89,13 @@
         own: 0,
         wanted: others(ranks, 0),
         isLinked: () => true,
-        isSound: () => true,
+        isResponsive: () => true,
       });
       const links = Array.from({ length: ranks }, (_, rank) => relaysOf(tree, rank, () => true));
       const dialled = Math.max(...links.map(({ length }) => length));
       return { ranks, fanOut: fanOut(routes), depth: depth(routes), dialled };
     });
     expect(shape).toMatchSnapshot();
-    expect(Math.max(...shape.map(({ dialled }) => dialled))).to.be.at.most(2 * RELAYS);
+    expect(Math.max(...shape.map(({ dialled }) => dialled))).to.be.at.most(2 * RELAYS_PER_CLUSTER);
   });
 });
--- a/packages/rank-groups/test/known-reports.test.ts
+++ b/packages/rank-groups/test/known-reports.test.ts
@@ -1,9 +1,9 @@
 import { expect } from 'chai';
 import { createManualClock } from '@plantaindrum/common';
 import type { RankReport } from '../src/index.js';
-import { createKnownReports } from '../src/known-reports.js';
+import { createLatestReports } from '../src/known-reports.js';
 
-const report = (more: Partial<RankReport>): RankReport => ({
+const report = (overrides: Partial<RankReport>): RankReport => ({
   ...{
     group: 'g',
     startedAt: 1,
@@ -16,42 +16,43 @@
     pace: 1,
   },
   ...{ prepared: undefined, armed: undefined, held: undefined },
-  ...more,
+  ...overrides,
 });
 
-describe('what a coordinator knows of its ranks', () => {
-  // News are half a second old at times. One that was on its way while a pass was held and begun looked like a pass
-  // held by somebody else: the coordinator waited 250 ms to settle it, and then read the map anew.
-  it('is not changed by news from before a later pass', () => {
-    const known = createKnownReports(createManualClock());
-    known.note(report({ step: 9, map: 70_000 }));
-    known.note(report({ step: 7, held: 8 }));
-    expect(known.of(0)).to.include({ step: 9, map: 70_000, held: undefined });
+describe('the latest report of a rank', () => {
+  // Reports may be half a second old. One that was sent while a pass was held, and arrived after
+  // the pass had begun, looked like a pass held by another coordinator: this one waited 250 ms to
+  // resolve it, and then read the map again.
+  it('is not replaced by a report from an earlier pass', () => {
+    const known = createLatestReports(createManualClock());
+    known.record(report({ step: 9, map: 70_000 }));
+    known.record(report({ step: 7, held: 8 }));
+    expect(known.get(0)).to.include({ step: 9, map: 70_000, held: undefined });
   });
 
   it('is replaced by any report of another epoch', () => {
-    const known = createKnownReports(createManualClock());
-    known.note(report({ step: 900 }));
-    known.note(report({ epoch: 2, step: 0 }));
-    expect(known.of(0)).to.include({ epoch: 2, step: 0 });
+    const known = createLatestReports(createManualClock());
+    known.record(report({ step: 900 }));
+    known.record(report({ epoch: 2, step: 0 }));
+    expect(known.get(0)).to.include({ epoch: 2, step: 0 });
   });
 
-  it('is not changed by a late word of an earlier start', () => {
-    const known = createKnownReports(createManualClock());
-    known.note(report({ startedAt: 5 }));
-    known.note(report({ startedAt: 4, step: 6, prepared: 3 }));
-    expect(known.of(0)).to.include({ startedAt: 5, prepared: undefined });
+  it('is not replaced by a late report from before a restart', () => {
+    const known = createLatestReports(createManualClock());
+    known.record(report({ startedAt: 5 }));
+    known.record(report({ startedAt: 4, step: 6, prepared: 3 }));
+    expect(known.get(0)).to.include({ startedAt: 5, prepared: undefined });
   });
 
-  it('tells who is silent, the last pass and the highest version', async () => {
+  it('shows silent ranks, the last pass and the highest version', async () => {
     const clock = createManualClock();
-    const known = createKnownReports(clock);
-    known.note(report({ rank: 0, prepared: 12 }));
+    const known = createLatestReports(clock);
+    known.record(report({ rank: 0, prepared: 12 }));
     await clock.advance(300);
-    known.note(report({ rank: 1, step: 6 }));
+    known.record(report({ rank: 1, step: 6 }));
     await clock.advance(200);
     expect(known.olderThan([0, 1, 2], 400)).to.deep.equal([0, 2]);
-    expect(known.passes.sinceLast()).to.equal(200);
+    expect(known.passes.msSinceLast()).to.equal(200);
     expect(known.highestVersion()).to.equal(12);
   });
 });
--- a/packages/rank-groups/test/large-group.test.ts
+++ b/packages/rank-groups/test/large-group.test.ts
@@ -21,16 +21,18 @@
   fields: EventFields;
 }
 
-interface Played {
+interface Setup {
   clock: ManualClock;
   group: FakeRanks;
   agents: SlowGroup;
   lines: Line[];
-  /** Lets time and passes go on; the longest time without a new pass, in ms. */
+  /** Advances time and passes; resolves with the longest time without a new pass, in ms. */
   run(ms: number): Promise<number>;
 }
 
-/** How popular each expert is: a few much more than the rest, others in each set. */
+/**
+ * Popularity of each expert: a few are much more popular than the rest, different ones in each set.
+ */
 const popularity = (seed: number): number[] => {
   const random = createSeededRandom(seed);
   const weights = Array.from({ length: shape.sets * shape.experts }, () => 0.2 + 4 * random() ** 8);
@@ -38,7 +40,7 @@
   return weights.map((weight) => weight / total);
 };
 
-const start = (shiftAt = Infinity): Played => {
+const start = (shiftAt = Infinity): Setup => {
   const clock = createManualClock();
   const lines: Line[] = [];
   const log: EventLog = {
@@ -47,12 +49,12 @@
   };
   const experts = (rank: number): number[][] =>
     Array.from({ length: shape.sets }, () => [rank, rank + RANKS]);
-  const fate = (): 'answered' => 'answered';
-  const group = createFakeRanks({ size: RANKS, clock, fate, lateMs: 0, experts });
-  const [usual, shifted] = [popularity(9), popularity(10)];
+  const fault = (): 'answered' => 'answered';
+  const group = createFakeRanks({ size: RANKS, clock, fault, lateMs: 0, experts });
+  const [initial, shifted] = [popularity(9), popularity(10)];
   const counts = (): number[] => {
     const ms = clock.monotonic();
-    return usual.map((share, at) => {
+    return initial.map((share, at) => {
       const picks = share * Math.min(ms, shiftAt) + (shifted[at] ?? 0) * Math.max(0, ms - shiftAt);
       return Math.floor((PICKS_A_SECOND * picks) / 1_000);
     });
@@ -63,63 +65,64 @@
   });
   const run = async (ms: number): Promise<number> => {
     let longest = 0;
-    let began = clock.monotonic();
+    let startedAt = clock.monotonic();
     let step = group.step();
-    for (const end = began + ms; clock.monotonic() < end;) {
+    for (const end = startedAt + ms; clock.monotonic() < end;) {
       await clock.advance(STEP_MS);
-      if (clock.monotonic() % PASS_MS === 0) group.pass();
-      if (group.step() !== step) began = clock.monotonic();
+      if (clock.monotonic() % PASS_MS === 0) group.beginPass();
+      if (group.step() !== step) startedAt = clock.monotonic();
       step = group.step();
-      longest = Math.max(longest, clock.monotonic() - began);
+      longest = Math.max(longest, clock.monotonic() - startedAt);
     }
     return longest;
   };
   return { clock, group, agents, lines, run };
 };
 
-const timeOf = ({ lines }: Played, name: string): number =>
+const timeOf = ({ lines }: Setup, name: string): number =>
   lines.find((line) => line.name === name)?.at ?? Infinity;
 
 describe('a group of 192 ranks on links of 4 Mbit/s', () => {
-  // Callers' streams stay slow for as long as the group keeps the map that it forms with. Called by the
-  // coordinator one by one, the ranks' answers fill its link, some come too late, and it asks all of
-  // them again; later the map itself would take seconds to reach them.
-  it('has a better map two seconds after it is coordinated, and the next a second later', async () => {
-    const played = start();
-    const longest = await played.run(4_000);
-    const switches = played.lines.filter(({ name }) => name === 'map-switch');
-    expect(timeOf(played, 'map-known')).to.be.below(600);
+  // Callers' streams stay slow while the group uses its initial map. If the coordinator called the
+  // ranks one by one, their answers would fill its link, some would come too late, and it would
+  // call all of them again; later, the map itself would take seconds to reach them.
+  it('has a better map two seconds after coordination starts, and the next a second later', async () => {
+    const setup = start();
+    const longest = await setup.run(4_000);
+    const switches = setup.lines.filter(({ name }) => name === 'map-switch');
+    expect(timeOf(setup, 'map-known')).to.be.below(600);
     expect(switches[0]?.at).to.be.below(2_000);
     expect(switches[1]?.at).to.be.below((switches[0]?.at ?? 0) + 1_000);
     expect(switches.every(({ fields }) => fields.outcome === 'switched')).to.equal(true);
     expect(longest).to.be.below(2.5 * PASS_MS);
-    expect(played.group.mixed()).to.deep.equal([]);
-    played.agents.close();
+    expect(setup.group.mixed()).to.deep.equal([]);
+    setup.agents.close();
   }).timeout(120_000);
 
-  it('takes less than half of any link for that', async () => {
-    const played = start();
-    await played.run(3_000);
-    const most = Math.max(...played.agents.sent, ...played.agents.received);
+  it('uses less than half of any link for coordination', async () => {
+    const setup = start();
+    await setup.run(3_000);
+    const most = Math.max(...setup.agents.sent, ...setup.agents.received);
     expect(most / (3_000 * BYTES_PER_MS)).to.be.below(0.5);
-    played.agents.close();
+    setup.agents.close();
   }).timeout(120_000);
 
-  // The agent of a rank that passes calls on freezes for a second, and popularity shifts meanwhile. The ranks below
-  // it are asked in another way, no pass is held for it, and the map changes once it is back.
-  it('goes on when an agent that passes calls on freezes', async () => {
-    const played = start(1_500);
-    await played.run(1_200);
+  // The agent of a relaying rank freezes for a second, and popularity shifts meanwhile. The ranks
+  // below it have to be called in another way, no pass may be held for it, and the map has to
+  // change once it is back.
+  it('continues when a relay freezes', async () => {
+    const setup = start(1_500);
+    await setup.run(1_200);
     const relay = 1;
-    played.agents.frozen.add(relay);
-    const longest = await played.run(1_000);
-    played.agents.frozen.delete(relay);
-    const back = played.clock.monotonic();
-    await played.run(2_000);
-    const after = played.lines.filter(({ name, at }) => name === 'map-switch' && at > back);
+    setup.agents.frozen.add(relay);
+    const longest = await setup.run(1_000);
+    setup.agents.frozen.delete(relay);
+    const back = setup.clock.monotonic();
+    await setup.run(2_000);
+    const after = setup.lines.filter(({ name, at }) => name === 'map-switch' && at > back);
     expect(longest).to.be.below(3 * PASS_MS);
     expect(after.length).to.be.greaterThan(0);
-    expect(played.group.mixed()).to.deep.equal([]);
-    played.agents.close();
+    expect(setup.group.mixed()).to.deep.equal([]);
+    setup.agents.close();
   }).timeout(120_000);
 });
--- a/packages/rank-groups/test/lead.test.ts
+++ b/packages/rank-groups/test/lead.test.ts
@@ -6,17 +6,20 @@
   silentEventLog,
 } from '@plantaindrum/common';
 import { createCoordinator } from '../src/index.js';
-import { createLead } from '../src/links/lead.js';
-import { createNewsReader } from '../src/links/news-reader.js';
+import { createCoordinatorRole } from '../src/links/lead.js';
+import { createTelemetryPoller } from '../src/links/news-reader.js';
 import { createFakeRanks } from './fakes/fake-ranks.js';
 
 const RANKS = 4;
 
-/** A coordinator and a reader of news beside a lead that a test moves; counts the timers they arm. */
+/**
+ * A coordinator and a telemetry poller whose role the test controls; counts the timers that they
+ * arm.
+ */
 const start = () => {
   const manual = createManualClock();
   let timers = 0;
-  let asked = 0;
+  let polls = 0;
   let isLowest = false;
   const clock = {
     ...manual,
@@ -25,15 +28,15 @@
       return manual.after(ms, fn);
     },
   };
-  const lead = createLead(() => isLowest);
-  const group = createFakeRanks({ size: RANKS, clock: manual, fate: () => 'slow', lateMs: 1 });
+  const role = createCoordinatorRole(() => isLowest);
+  const group = createFakeRanks({ size: RANKS, clock: manual, fault: () => 'slow', lateMs: 1 });
   const coordinator = createCoordinator({
     port: { ...group.port(() => true), placements: async () => new Map(), noteMapInUse: () => {} },
     ownRank: 1,
     shape: { sets: 1, experts: RANKS, places: 2, spare: 1, copyMs: 20 },
     weighs: 'skew',
-    isLowest: lead.isLowest,
-    untilLowest: lead.untilLowest,
+    isLowest: role.isLowest,
+    untilLowest: role.whenLowest,
     knownPlacement: () => undefined,
     newsEveryMs: () => 80,
     orderOwnFromAfar: () => undefined,
@@ -42,56 +45,56 @@
     metrics: createMetrics(),
     log: silentEventLog,
   });
-  const news = createNewsReader({
-    untilCoordinating: lead.untilLowest,
-    news: async () => {
-      asked += 1;
-      return { news: { reports: [], picks: [] }, heard: RANKS, ranks: RANKS };
+  const poller = createTelemetryPoller({
+    whenCoordinating: role.whenLowest,
+    queryTelemetry: async () => {
+      polls += 1;
+      return { telemetry: { reports: [], picks: [] }, answered: RANKS, ranks: RANKS };
     },
     onReport: () => {},
-    onPicks: () => {},
+    onSelectionCounts: () => {},
     clock,
   });
   return {
     advance: manual.advance,
     timers: () => timers,
-    asked: () => asked,
+    polls: () => polls,
     setLowest: (value: boolean) => {
       isLowest = value;
-      lead.noteChange();
+      role.handleChange();
     },
     close: () => {
       coordinator.close();
-      news.close();
+      poller.close();
     },
   };
 };
 
 describe('an agent that does not coordinate', () => {
-  // Each agent of a group looked fifty times a second whether it coordinates.
-  it('arms no timer while another one does', async () => {
-    const played = start();
-    await played.advance(500);
-    const before = played.timers();
-    await played.advance(5_000);
-    expect(played.timers()).to.equal(before);
-    expect(played.asked()).to.equal(0);
-    played.close();
+  // Without this, each agent of a group would check fifty times a second whether it coordinates.
+  it('arms no timer while another agent coordinates', async () => {
+    const setup = start();
+    await setup.advance(500);
+    const before = setup.timers();
+    await setup.advance(5_000);
+    expect(setup.timers()).to.equal(before);
+    expect(setup.polls()).to.equal(0);
+    setup.close();
   });
 
-  it('begins as soon as no lower rank is linked, and stops when one is', async () => {
-    const played = start();
-    await played.advance(500);
-    played.setLowest(true);
-    await played.advance(10);
-    expect(played.asked()).to.equal(1);
-    await played.advance(1_000);
-    played.setLowest(false);
-    await played.advance(200);
-    const { asked, timers } = { asked: played.asked(), timers: played.timers() };
-    expect(asked).to.be.greaterThan(5);
-    await played.advance(2_000);
-    expect([played.asked(), played.timers()]).to.deep.equal([asked, timers]);
-    played.close();
+  it('starts to coordinate once no lower rank is linked, and stops when one is', async () => {
+    const setup = start();
+    await setup.advance(500);
+    setup.setLowest(true);
+    await setup.advance(10);
+    expect(setup.polls()).to.equal(1);
+    await setup.advance(1_000);
+    setup.setLowest(false);
+    await setup.advance(200);
+    const { polls, timers } = { polls: setup.polls(), timers: setup.timers() };
+    expect(polls).to.be.greaterThan(5);
+    await setup.advance(2_000);
+    expect([setup.polls(), setup.timers()]).to.deep.equal([polls, timers]);
+    setup.close();
   });
 });
--- a/packages/rank-groups/test/links.test.ts
+++ b/packages/rank-groups/test/links.test.ts
@@ -1,10 +1,10 @@
 import { expect } from 'chai';
 import fc from 'fast-check';
 import {
-  changesBetween,
-  createPlacementBook,
-  tellChanges,
-  tellWhole,
+  diffPlacements,
+  createPlacementCache,
+  encodeMapDelta,
+  encodeFullMap,
 } from '../src/links/placement-deltas.js';
 import { deflateNumbers, inflateNumbers, packNumbers, unpackNumbers } from '../src/tree/packing.js';
 import type { Placement } from '../src/index.js';
@@ -14,8 +14,8 @@
   { minLength: 2, maxLength: 2 },
 );
 
-describe('numbers as bytes', () => {
-  it('are read as they were written', () => {
+describe('numbers encoded as bytes', () => {
+  it('decode to the original numbers', () => {
     const counts = fc.array(fc.maxSafeNat());
     fc.assert(
       fc.property(counts, (numbers) => {
@@ -26,46 +26,47 @@
     );
   });
 
-  it('are refused when they end within a number or are none', () => {
+  it('are rejected when truncated or invalid', () => {
     expect(unpackNumbers(Uint8Array.of(1, 200))).to.equal(undefined);
     expect(inflateNumbers(Uint8Array.of(7, 7, 7))).to.equal(undefined);
   });
 });
 
-describe('maps as differences', () => {
-  it('are rebuilt as they were, whole or from their base', () => {
+describe('encoded maps', () => {
+  it('decode to the original map, from the full form or from a delta', () => {
     fc.assert(
       fc.property(placements, placements, (from: Placement, to: Placement) => {
-        const book = createPlacementBook();
-        book.put(1, 7, from);
-        expect(book.resolve(1, tellChanges(7, from, to))).to.deep.equal(to);
-        expect(createPlacementBook().resolve(1, tellWhole(to))).to.deep.equal(to);
+        const cache = createPlacementCache();
+        cache.put(1, 7, from);
+        expect(cache.decode(1, encodeMapDelta(7, from, to))).to.deep.equal(to);
+        expect(createPlacementCache().decode(1, encodeFullMap(to))).to.deep.equal(to);
       }),
       { seed: 5 },
     );
   });
 
-  it('name only what differs', () => {
+  it('contain only differences in a delta', () => {
     const from = [[[0], [1], [2]]];
-    expect(changesBetween(from, [[[0], [1, 0], [2]]])).to.deep.equal([[0, 1, [1, 0]]]);
+    expect(diffPlacements(from, [[[0], [1, 0], [2]]])).to.deep.equal([[0, 1, [1, 0]]]);
   });
 
-  // An agent that has started anew, or whose group has, would build its part of a map on another
-  // one than the rest; it says that it doesn't know the base, and is sent the whole.
-  it('are refused without their base', () => {
-    const book = createPlacementBook();
+  // After a restart of an agent, or after its group has formed again, its cached base may be
+  // missing or of another epoch. Applying a delta to another base would give it a different map
+  // than the other ranks. It reports the unknown base and receives the full map.
+  it('are rejected without the base of a delta', () => {
+    const cache = createPlacementCache();
     const known = [[[0], [1], [2]]];
-    book.put(1, 7, known);
-    expect(book.resolve(1, tellChanges(6, known, known))).to.equal(undefined);
-    expect(book.resolve(2, tellChanges(7, known, known))).to.equal(undefined);
-    expect(book.find(2, 7)).to.equal(undefined);
+    cache.put(1, 7, known);
+    expect(cache.decode(1, encodeMapDelta(6, known, known))).to.equal(undefined);
+    expect(cache.decode(2, encodeMapDelta(7, known, known))).to.equal(undefined);
+    expect(cache.find(2, 7)).to.equal(undefined);
   });
 
-  it('are refused when they name a rank that the base does not have', () => {
-    const book = createPlacementBook();
+  it('are rejected when they name a rank that the base does not have', () => {
+    const cache = createPlacementCache();
     const small = [[[0], [1]]];
-    book.put(1, 7, small);
-    const told = tellChanges(7, small, [[[0], [1], [2]]]);
-    expect(book.resolve(1, told)).to.equal(undefined);
+    cache.put(1, 7, small);
+    const told = encodeMapDelta(7, small, [[[0], [1], [2]]]);
+    expect(cache.decode(1, told)).to.equal(undefined);
   });
 });
--- a/packages/rank-groups/test/member.test.ts
+++ b/packages/rank-groups/test/member.test.ts
@@ -20,8 +20,8 @@
 
 const STEP_MS = 10;
 
-/** A member whose engine counts its readings. */
-const start = (isWatched = false) => {
+/** Starts a member whose engine counts its readings. */
+const start = (needsFreshReports = false) => {
   const clock = createManualClock();
   const seen = { readings: 0, reports: 0, isSilent: false };
   const engine: RankEngine = {
@@ -38,54 +38,55 @@
     onReport: () => {
       seen.reports += 1;
     },
-    isWatched: () => isWatched,
+    needsFreshReports: () => needsFreshReports,
     clock,
     metrics: createMetrics(),
     log: silentEventLog,
   });
-  /** In steps, so that what a timer has begun is done before the next one. */
+  /** Advances in steps, so that work started by one timer ends before the next one. */
   const advance = async (ms: number): Promise<void> => {
     for (let at = 0; at < ms; at += STEP_MS) await clock.advance(STEP_MS);
   };
-  const askFor = async (ms: number, everyMs: number): Promise<void> => {
+  const pollFor = async (ms: number, everyMs: number): Promise<void> => {
     let isOver = false;
-    const ask = async (): Promise<void> => {
+    const poll = async (): Promise<void> => {
       while (!isOver) {
-        await member.newsReport();
+        await member.telemetryReport();
         await sleep(clock, everyMs);
       }
     };
-    void ask();
+    void poll();
     await advance(ms);
     isOver = true;
     await advance(everyMs);
   };
-  return { advance, seen, member, askFor };
+  return { advance, seen, member, pollFor };
 };
 
 describe('reading the engine beside an agent', () => {
-  // Each agent read its engine once a pass for itself, and told the coordinator a report of before.
-  it('takes one reading for two questions, and few for itself', async () => {
-    const { seen, member, askFor } = start();
-    await askFor(10_000, 80);
+  // Otherwise each agent would read its engine once a pass for itself as well as for each poll of
+  // the coordinator, which would then receive an earlier report.
+  it('answers two polls with one reading, and adds few of its own', async () => {
+    const { seen, member, pollFor } = start();
+    await pollFor(10_000, 80);
     expect(seen.readings).to.be.within(60, 66);
     expect(seen.reports).to.equal(seen.readings);
     member.close();
   });
 
-  it('takes one a pass for itself when nobody asks, or somebody wants to know at once', async () => {
+  it('reads once a pass when it is not polled, or when fresh reports are needed', async () => {
     const alone = start();
     await alone.advance(1_000);
     expect(alone.seen.readings).to.be.within(12, 14);
     const watched = start(true);
-    await watched.askFor(1_000, 160);
+    await watched.pollFor(1_000, 160);
     expect(watched.seen.readings).to.be.within(12, 16);
     [alone, watched].forEach(({ member }) => member.close());
   });
 
-  // While a change waited for copies, its readings passed for the agent's own, and entries were not
-  // told of a slow engine.
-  it('tells its own readings on beside those that others ask for', async () => {
+  // Readings made while a change waited for copies were counted as the agent's own, and entries
+  // were not informed about a slow engine.
+  it('keeps reporting its own readings while others are requested', async () => {
     const { seen, member, advance } = start();
     for (let ms = 0; ms < 1_000; ms += STEP_MS) {
       await member.report();
@@ -95,9 +96,9 @@
     member.close();
   });
 
-  it('goes on for itself when the coordinator has gone', async () => {
-    const { advance, seen, member, askFor } = start();
-    await askFor(2_000, 160);
+  it('reads by itself again when the coordinator is lost', async () => {
+    const { advance, seen, member, pollFor } = start();
+    await pollFor(2_000, 160);
     await advance(1_500);
     const before = seen.readings;
     await advance(1_000);
@@ -105,14 +106,14 @@
     member.close();
   });
 
-  it('tells the last report for a moment when the engine falls silent, and none later', async () => {
+  it('returns the last report briefly after the engine stops answering, then none', async () => {
     const { advance, seen, member } = start();
     await advance(240);
     seen.isSilent = true;
     await advance(160);
-    expect(await member.newsReport()).to.deep.equal(report);
+    expect(await member.telemetryReport()).to.deep.equal(report);
     await advance(600);
-    expect(await member.newsReport()).to.equal(undefined);
+    expect(await member.telemetryReport()).to.equal(undefined);
     member.close();
   });
 });
--- a/packages/rank-groups/test/plan.test.ts
+++ b/packages/rank-groups/test/plan.test.ts
@@ -16,7 +16,7 @@
     ),
   );
 
-/** Shares that fall with the expert's place in an order of its set's own. */
+/** Shares that decrease along an order of the experts that differs between sets. */
 const skewed = (seed: number): number[][] =>
   Array.from({ length: shape.sets }, (_, set) => {
     const weights = Array.from(
@@ -36,8 +36,8 @@
   );
 
 describe('planning a change of map', () => {
-  // A map that leaves an expert without a rank, or gives a rank more than it can hold, would be
-  // refused by some ranks and the group would wait; whatever is popular, plans keep the rules.
+  // Ranks refuse a map that leaves an expert without a rank, or gives a rank more experts than it
+  // has slots, and the group would wait. Plans must be valid for any popularity.
   it('keeps the rules of maps and copies at most one expert a rank', () => {
     fc.assert(
       fc.property(fc.nat(10_000), fc.integer({ min: 1, max: 4 }), (seed, rounds) => {
@@ -88,8 +88,6 @@
     expect(copies[1]).to.be.below(copies[0] ?? 0);
   });
 
-  // All ranks wait for the slowest in every pass. One that works at little more than half the usual
-  // speed ends up with fewer picks than the others.
   // Small experts cost fewer bytes to copy, so a change is worth more of them.
   it('moves more experts where they are small', () => {
     const copies = [111, 16].map((copyMs) => {
@@ -102,12 +100,14 @@
     );
   });
 
+  // All ranks wait for the slowest in every pass. A rank that works at little more than half the
+  // normal speed has to get fewer selections than the others.
   it('gives a slow rank less work', () => {
     const shares = skewed(3);
-    const paces = Array.from({ length: RANKS }, (_, rank) => (rank === 5 ? 1.8 : 1));
+    const slowdowns = Array.from({ length: RANKS }, (_, rank) => (rank === 5 ? 1.8 : 1));
     let placement = inTurn();
     for (let change = 0; change < 6; change += 1) {
-      placement = planChange(placement, shares, shape, 'skew', paces)?.placement ?? placement;
+      placement = planChange(placement, shares, shape, 'skew', slowdowns)?.placement ?? placement;
     }
     const picksOf = (rank: number): number =>
       placement.reduce((sum, ranks, set) => {
@@ -115,13 +115,14 @@
         const parts = (ranks[rank] ?? []).map((e) => (shares[set]?.[e] ?? 0) / hosts(e));
         return sum + parts.reduce((a, b) => a + b, 0);
       }, 0);
-    const usual = Array.from({ length: RANKS }, (_, rank) => picksOf(rank));
-    const mean = usual.reduce((a, b) => a + b, 0) / RANKS;
+    const selections = Array.from({ length: RANKS }, (_, rank) => picksOf(rank));
+    const mean = selections.reduce((a, b) => a + b, 0) / RANKS;
     expect(picksOf(5)).to.be.below(0.8 * mean);
   });
 
-  // Planning for hundreds of ranks takes a tenth of a second at an agent that orders and answers wait for.
-  it('gives the best part of a plan when it may not go on', () => {
+  // Planning for hundreds of ranks would block the agent for a tenth of a second, while orders and
+  // answers wait.
+  it('returns the most valuable part of a plan that is cut short', () => {
     const shares = skewed(7);
     const whole = planChange(inTurn(), shares, shape, 'skew');
     let edits = 3;
@@ -133,7 +134,7 @@
     expect(part?.after).to.be.above(whole?.after ?? Infinity);
   });
 
-  it('leaves an even group alone', () => {
+  it('leaves an even group unchanged', () => {
     const even = Array.from({ length: shape.sets }, () =>
       new Array<number>(shape.experts).fill(1 / shape.experts),
     );
@@ -142,107 +143,107 @@
 });
 
 describe('popularity', () => {
-  const RANKS_TELLING = 6;
-  const PIECE_MS = 60;
+  const REPORTING_RANKS = 6;
+  const SAMPLE_MS = 60;
   const picksOf = (hot: number, scale = 1): number[] =>
     Array.from({ length: 8 }, (_, expert) => scale * (expert === hot ? 9_000 : 1_000));
 
   const start = (ranks = 16) => {
     const clock = createManualClock();
-    const options = { sets: 1, experts: 8, ranks: () => ranks, pieceMs: () => PIECE_MS, clock };
+    const options = { sets: 1, experts: 8, ranks: () => ranks, sampleMs: () => SAMPLE_MS, clock };
     const popularity = createPopularity(options);
-    /** Each rank tells its picks, one after the other, in the time of a piece. */
-    const pieces = async (count: number, of: (rank: number, n: number) => number[]) => {
+    /** Each rank reports its counts, one after the other, in the time of a sample. */
+    const addSamples = async (count: number, of: (rank: number, n: number) => number[]) => {
       for (let n = 0; n < count; n += 1) {
-        for (let rank = 0; rank < RANKS_TELLING; rank += 1) {
-          await clock.advance(PIECE_MS / RANKS_TELLING);
+        for (let rank = 0; rank < REPORTING_RANKS; rank += 1) {
+          await clock.advance(SAMPLE_MS / REPORTING_RANKS);
           popularity.add(of(rank, n));
         }
       }
     };
-    return { popularity, pieces };
+    return { popularity, addSamples };
   };
 
-  it('knows nothing before enough was picked', () => {
+  it('has no estimate before there are enough counts', () => {
     const { popularity } = start();
     popularity.add(new Array<number>(8).fill(10));
     expect(popularity.shares()).to.equal(undefined);
   });
 
-  // The busiest rank would be planned for what was popular before. A shift forgets it at once
-  // instead of over the time that older picks are remembered for.
-  it('forgets what was popular when that has shifted', async () => {
-    const { popularity, pieces } = start();
-    await pieces(10, () => picksOf(0));
-    await pieces(1, () => picksOf(5));
+  // Otherwise a map would be planned for the earlier popularity. A shift discards that at once, not
+  // over the decay time of older counts.
+  it('discards earlier popularity after a shift', async () => {
+    const { popularity, addSamples } = start();
+    await addSamples(10, () => picksOf(0));
+    await addSamples(1, () => picksOf(5));
     const [shares] = popularity.shares() ?? [];
     expect(shares?.[5]).to.be.above(0.5);
     expect(shares?.[0]).to.be.below(0.1);
-    expect(popularity.sinceShift()).to.equal(0);
+    expect(popularity.samplesSinceShift()).to.equal(0);
   });
 
-  // A shift comes in the middle of a piece, which shows it by half. Sixteen ranks' pieces differ by nearly as
-  // much while nothing shifts; in a group of sixty their streams are so many that it stands out, and the map
-  // changes a piece sooner.
-  it('tells a shift by half a piece where many ranks make it', async () => {
+  // A shift in the middle of a sample shows in it only by half. Samples of 16 ranks differ nearly
+  // as much without a shift. In a group of 63 ranks there are so many streams that the shift stands
+  // out, and the map changes one sample sooner.
+  it('detects a shift from half a sample in a large group', async () => {
     const seen = [];
     for (const ranks of [16, 63]) {
-      const { popularity, pieces } = start(ranks);
-      await pieces(12, () => picksOf(0));
-      await pieces(1, () => picksOf(0).map((n, expert) => n + (expert === 5 ? 1_800 : 0)));
-      seen.push(popularity.sinceShift() === 0);
+      const { popularity, addSamples } = start(ranks);
+      await addSamples(12, () => picksOf(0));
+      await addSamples(1, () => picksOf(0).map((n, expert) => n + (expert === 5 ? 1_800 : 0)));
+      seen.push(popularity.samplesSinceShift() === 0);
     }
     expect(seen).to.deep.equal([false, true]);
   });
 
-  it('averages pieces that differ by chance', async () => {
-    const { popularity, pieces } = start();
-    await pieces(10, (_, n) => picksOf(0).map((x) => x + ((n * 37) % 100)));
-    expect(popularity.sinceShift()).to.be.above(5);
+  it('averages samples that differ by chance', async () => {
+    const { popularity, addSamples } = start();
+    await addSamples(10, (_, n) => picksOf(0).map((x) => x + ((n * 37) % 100)));
+    expect(popularity.samplesSinceShift()).to.be.above(5);
   });
 
-  // Each rank's streams are about something else, and one of them reads a long prompt now and then.
-  // The map would be changed several times a second for what one rank happened to read.
-  it('does not take one rank for a shift', async () => {
-    const { popularity, pieces } = start();
-    await pieces(30, (rank, n) =>
+  // The content of the streams differs between ranks, and one of them processes a long prompt now
+  // and then. The map must not be changed several times a second because of a single rank.
+  it('does not take the counts of one rank for a shift', async () => {
+    const { popularity, addSamples } = start();
+    await addSamples(30, (rank, n) =>
       picksOf(0).map(
         (x, expert) => x + (expert === rank + 1 ? 3_000 : 0) * (n % 5 === rank ? 3 : 1),
       ),
     );
-    expect(popularity.sinceShift()).to.be.above(25);
+    expect(popularity.samplesSinceShift()).to.be.above(25);
     const [shares] = popularity.shares() ?? [];
     expect(shares?.[0]).to.be.within(0.35, 0.5);
   });
 
-  // Popularity shifts every two seconds, six pieces apart, and each shift comes in the middle of a piece. Each made
-  // the next a little more usual, until none was noticed any more: plans were made for a mixture of old and new,
-  // and every stream was late.
-  it('notices each of many shifts, however often they come', async () => {
-    const { popularity, pieces } = start();
+  // Popularity shifts every six samples, each time in the middle of a sample. If each shift raised
+  // the typical difference, later ones would not be detected: plans would be made for a mixture of
+  // old and new popularity, and every stream would be late.
+  it('detects each of many frequent shifts', async () => {
+    const { popularity, addSamples } = start();
     const of = (hot: number): number[] =>
       Array.from({ length: 8 }, (_, expert) => (expert === hot ? 4_000 : 1_000));
     const between = (a: number[], b: number[]): number[] =>
       a.map((n, expert) => (n + (b[expert] ?? 0)) / 2);
-    await pieces(6, () => of(7));
+    await addSamples(6, () => of(7));
     const noticed: boolean[] = [];
     for (let shift = 0; shift < 20; shift += 1) {
-      await pieces(1, () => between(of((shift + 7) % 8), of(shift % 8)));
-      const isInMiddle = popularity.sinceShift() === 0;
-      await pieces(1, () => of(shift % 8));
-      noticed.push(isInMiddle || popularity.sinceShift() === 0);
-      await pieces(4, () => of(shift % 8));
+      await addSamples(1, () => between(of((shift + 7) % 8), of(shift % 8)));
+      const isInMiddle = popularity.samplesSinceShift() === 0;
+      await addSamples(1, () => of(shift % 8));
+      noticed.push(isInMiddle || popularity.samplesSinceShift() === 0);
+      await addSamples(4, () => of(shift % 8));
     }
     expect(noticed.filter(Boolean).length).to.equal(20);
   });
 
-  // Content changes so much from piece to piece that a smaller share can't be told from chance; a
-  // shift is what lies well above the usual.
-  it('learns how much pieces differ usually', async () => {
-    const { popularity, pieces } = start();
-    await pieces(40, (_, n) => picksOf(n % 2, 1));
-    const seen = popularity.sinceShift();
-    await pieces(4, (_, n) => picksOf(n % 2, 1));
-    expect(popularity.sinceShift()).to.be.above(seen);
+  // Content changes so much from sample to sample that small shifts can't be told from chance; only
+  // a difference well above the typical one is a shift.
+  it('adapts to the typical difference between samples', async () => {
+    const { popularity, addSamples } = start();
+    await addSamples(40, (_, n) => picksOf(n % 2, 1));
+    const seen = popularity.samplesSinceShift();
+    await addSamples(4, (_, n) => picksOf(n % 2, 1));
+    expect(popularity.samplesSinceShift()).to.be.above(seen);
   });
 });
--- a/packages/rank-groups/test/rank-methods.test.ts
+++ b/packages/rank-groups/test/rank-methods.test.ts
@@ -1,7 +1,11 @@
 import { expect } from 'chai';
 import { createManualClock } from '@plantaindrum/common';
 import type { PeerPush } from '@plantaindrum/mirror';
-import { createPlacementBook, tellChanges, tellWhole } from '../src/links/placement-deltas.js';
+import {
+  createPlacementCache,
+  encodeMapDelta,
+  encodeFullMap,
+} from '../src/links/placement-deltas.js';
 import type { RankMember } from '../src/member.js';
 import { createRankMethods } from '../src/tree/rank-methods.js';
 import type { OrderOutcome, RankOrder, RankReport } from '../src/index.js';
@@ -17,14 +21,14 @@
       return outcomes.shift() ?? 'done';
     },
   } as unknown as RankMember;
-  const book = createPlacementBook();
+  const placementCache = createPlacementCache();
   const methods = createRankMethods({
     member: () => member,
-    book,
+    placementCache,
     onNodes: (push) => pushes.push(push),
     clock,
   });
-  return { methods, book, clock, orders, pushes };
+  return { methods, placementCache, clock, orders, pushes };
 };
 
 const placement = [[[0], [1], [2]]];
@@ -37,8 +41,8 @@
     expect(await methods.order.run({ op: 'arm' }, 100)).to.deep.equal({ refused: [3] });
   });
 
-  // Workers leave some orders unanswered. Given again from afar, each would cost the whole group another round
-  // while a pass is held.
+  // Engines leave some orders unanswered. If the coordinator repeated them, each would cost the
+  // whole group another round of calls while a pass is held.
   it('gives an order again to an engine that does not answer', async () => {
     const { methods, orders, clock } = start(['no-answer', 'no-answer']);
     const running = methods.order.run({ op: 'go', epoch: 1, step: 9 }, 100);
@@ -47,18 +51,18 @@
     expect(orders.length).to.equal(3);
   });
 
-  it('prepares a map that is told as a difference, once it knows the base', async () => {
+  it('prepares a map sent as a delta once it knows the base', async () => {
     const { methods, orders } = start();
     const next = [[[0], [1, 0], [2]]];
-    const told = { epoch: 1, version: 8, map: tellChanges(7, placement, next) };
+    const told = { epoch: 1, version: 8, map: encodeMapDelta(7, placement, next) };
     expect(await methods.prepare.run(told, 100)).to.deep.equal({ 'unknown-base': [3] });
-    const base = { epoch: 1, version: 7, map: tellWhole(placement) };
+    const base = { epoch: 1, version: 7, map: encodeFullMap(placement) };
     expect(await methods['map-in-use'].run(base, 100)).to.deep.equal({ done: [3] });
     expect(await methods.prepare.run(told, 100)).to.deep.equal({ done: [3] });
     expect(orders).to.deep.equal([{ op: 'prepare', epoch: 1, version: 8, placement: next }]);
   });
 
-  it('takes what another agent has read of the list of nodes', async () => {
+  it('accepts node records that another agent has read', async () => {
     const { methods, pushes } = start();
     const records = [{ key: 'n', offset: 4, value: Uint8Array.of(1) }];
     const push = { after: 4, end: 5, generation: 1, records };
--- a/packages/rank-groups/test/started-again.test.ts
+++ b/packages/rank-groups/test/started-again.test.ts
@@ -8,10 +8,10 @@
   ...{ prepared: undefined, armed: undefined, held: undefined },
 });
 
-describe('an engine that starts again under its instance', () => {
-  // Its counts begin anew. More picks since its start than before it would pass for a difference to
-  // the earlier counts, and the popularity would miss what the new start has counted.
-  it('has all counts of its new start taken', async () => {
+describe('an engine that restarts under the same instance', () => {
+  // A restarted engine counts from zero. If its counts since the restart exceed the earlier ones,
+  // they must not be taken for an increase, or the popularity would miss a part of them.
+  it('has all counts since its restart included', async () => {
     const clock = createManualClock();
     let startedAt = 1_000;
     let counts = [50, 50];
@@ -26,19 +26,19 @@
     const member = createRankMember({
       engine,
       onReport: () => {},
-      isWatched: () => false,
+      needsFreshReports: () => false,
       clock,
       metrics: createMetrics(),
       log: silentEventLog,
     });
-    const pass = async (): Promise<void> => {
+    const takeAfterPause = async (): Promise<void> => {
       for (let ms = 0; ms < 200; ms += 10) await clock.advance(10);
-      taken.push(await member.takePicks());
+      taken.push(await member.takeSelectionCounts());
     };
-    await pass();
+    await takeAfterPause();
     startedAt = 2_000;
     counts = [60, 70];
-    await pass();
+    await takeAfterPause();
     member.close();
     expect(taken).to.deep.equal([[], [60, 70]]);
   });
