--- a/packages/plantaindrum/src/cli/apply/changes.ts
+++ b/packages/plantaindrum/src/cli/apply/changes.ts
@@ -4,18 +4,18 @@
 
 type Section = keyof IntentDocument;
 
-const changesOfSection = (
+const compareSection = (
   section: Section,
-  wanted: Record<string, unknown>,
+  desired: Record<string, unknown>,
   view: IntentView,
 ): IntentChange[] => {
   const current: Record<string, unknown> = view.document[section];
-  const names = new Set([...Object.keys(wanted), ...Object.keys(current)]);
+  const names = new Set([...Object.keys(desired), ...Object.keys(current)]);
   return [...names]
-    .filter((name) => !isDeepStrictEqual(wanted[name], current[name]))
+    .filter((name) => !isDeepStrictEqual(desired[name], current[name]))
     .map((name) => {
       const key: IntentKey = `${section}/${name}`;
-      return { key, base: view.versions[key] ?? -1, value: wanted[name] ?? null };
+      return { key, base: view.versions[key] ?? -1, value: desired[name] ?? null };
     });
 };
 
@@ -23,19 +23,19 @@
  * The changes that bring the intent in force to a file's. A section that the file leaves out stays
  * as it is, so that applying classes does not undo the stop of a data centre.
  */
-export const changesFor = (
+export const computeChanges = (
   sections: readonly string[],
-  wanted: IntentDocument,
+  desired: IntentDocument,
   view: IntentView,
 ): IntentChange[] =>
-  (Object.keys(wanted) as Section[])
+  (Object.keys(desired) as Section[])
     .filter((section) => sections.includes(section))
-    .flatMap((section) => changesOfSection(section, wanted[section], view));
+    .flatMap((section) => compareSection(section, desired[section], view));
 
 /** Throws when a key has changed since the version that the file was made from. */
-export const checkMadeFrom = (changes: IntentChange[], madeFrom: number): void => {
-  const newer = changes.find(({ base }) => base > madeFrom);
-  if (!newer) return;
-  const detail = `made from version ${madeFrom}, now at version ${newer.base}`;
-  throw new PlantaindrumError('intent-conflict', { key: newer.key, detail });
+export const checkBaseVersion = (changes: IntentChange[], baseVersion: number): void => {
+  const conflicting = changes.find(({ base }) => base > baseVersion);
+  if (!conflicting) return;
+  const detail = `made from version ${baseVersion}, now at version ${conflicting.base}`;
+  throw new PlantaindrumError('intent-conflict', { key: conflicting.key, detail });
 };
--- a/packages/plantaindrum/src/cli/apply/index.ts
+++ b/packages/plantaindrum/src/cli/apply/index.ts
@@ -2,18 +2,18 @@
 import { intentDocumentSchema } from '@plantaindrum/intent';
 import { z } from 'zod';
 import type { Command } from '../command.js';
-import type { OperatorsArgs } from '../operators-client.js';
-import { createOperatorsClient, withOperators } from '../operators-client.js';
+import type { OperatorArgs } from '../operator-client.js';
+import { createOperatorClient, withOperatorOptions } from '../operator-client.js';
 import type { SubmitArgs } from '../submit.js';
-import { fetchIntent, submitChanges, withSubmission } from '../submit.js';
-import { changesFor, checkMadeFrom } from './changes.js';
+import { fetchIntent, submitChanges, withSubmitOptions } from '../submit.js';
+import { computeChanges, checkBaseVersion } from './changes.js';
 
-interface ApplyArgs extends OperatorsArgs, SubmitArgs {
+interface ApplyArgs extends OperatorArgs, SubmitArgs {
   file: string;
   from?: number;
 }
 
-const sectionsOf = (file: string): string[] => {
+const readSectionNames = (file: string): string[] => {
   const read = readSettings(file, z.record(z.string(), z.unknown()));
   return read.ok ? Object.keys(read.value) : [];
 };
@@ -23,8 +23,8 @@
   command: 'apply <file>',
   describe: "Put an operators' intent file in force; waits until it is accepted",
   builder: (args) =>
-    withSubmission(
-      withOperators(
+    withSubmitOptions(
+      withOperatorOptions(
         args
           .positional('file', {
             type: 'string',
@@ -38,19 +38,19 @@
       ),
     ),
   run: async (args, io) => {
-    const wanted = readSettings(args.file, intentDocumentSchema);
-    if (!wanted.ok) {
-      wanted.err.forEach((fault) => io.err(formatFault(args.file, fault)));
+    const desired = readSettings(args.file, intentDocumentSchema);
+    if (!desired.ok) {
+      desired.err.forEach((fault) => io.err(formatFault(args.file, fault)));
       return exitCodes.invalid;
     }
-    const client = createOperatorsClient(args, io);
+    const client = createOperatorClient(args, io);
     const view = await fetchIntent(client);
-    const changes = changesFor(sectionsOf(args.file), wanted.value, view);
+    const changes = computeChanges(readSectionNames(args.file), desired.value, view);
     if (changes.length === 0) {
       io.out(`nothing to change at version ${view.offset}`);
       return exitCodes.ok;
     }
-    if (args.from !== undefined) checkMadeFrom(changes, args.from);
+    if (args.from !== undefined) checkBaseVersion(changes, args.from);
     const version = await submitChanges(client, changes, args);
     io.out(`accepted at version ${version}: ${changes.map(({ key }) => key).join(', ')}`);
     return exitCodes.ok;
--- a/packages/plantaindrum/src/cli/check/index.ts
+++ b/packages/plantaindrum/src/cli/check/index.ts
@@ -30,12 +30,12 @@
 };
 
 /** Settings of an agent name an upstream; intent names neither a node nor a platform. */
-const guessKind = (text: string): FileKind => {
+const detectKind = (text: string): FileKind => {
   if (/"upstream"\s*:/.test(text)) return 'agent';
   return /"(node|platform|callers|link)"\s*:/.test(text) ? 'entry' : 'intent';
 };
 
-const faultsOf = (text: string, kind: FileKind): SettingsFault[] => {
+const validate = (text: string, kind: FileKind): SettingsFault[] => {
   const parsed = parseSettings(text, schemas[kind]);
   return parsed.ok ? [] : parsed.err;
 };
@@ -53,11 +53,11 @@
       }),
   run: async ({ file, kind }, io) => {
     const text = readText(file);
-    const chosen = (kind as FileKind | undefined) ?? guessKind(text);
-    const faults = faultsOf(text, chosen);
+    const fileKind = (kind as FileKind | undefined) ?? detectKind(text);
+    const faults = validate(text, fileKind);
     faults.forEach((fault) => io.err(formatFault(file, fault)));
     if (faults.length > 0) return exitCodes.invalid;
-    io.out(`${file}: valid (${chosen})`);
+    io.out(`${file}: valid (${fileKind})`);
     return exitCodes.ok;
   },
 };
--- a/packages/plantaindrum/src/cli/data-centre/index.ts
+++ b/packages/plantaindrum/src/cli/data-centre/index.ts
@@ -1,13 +1,13 @@
 import { exitCodes, systemClock } from '@plantaindrum/common';
 import type { IntentKey } from '@plantaindrum/intent';
 import type { Command } from '../command.js';
-import type { OperatorsArgs } from '../operators-client.js';
-import { createOperatorsClient, withOperators } from '../operators-client.js';
+import type { OperatorArgs } from '../operator-client.js';
+import { createOperatorClient, withOperatorOptions } from '../operator-client.js';
 import type { SubmitArgs } from '../submit.js';
-import { fetchIntent, submitChanges, withSubmission } from '../submit.js';
-import { waitUntilQuiet } from './wait-until-quiet.js';
+import { fetchIntent, submitChanges, withSubmitOptions } from '../submit.js';
+import { waitUntilIdle } from './wait-until-idle.js';
 
-interface DataCentreArgs extends OperatorsArgs, SubmitArgs {
+interface DataCentreArgs extends OperatorArgs, SubmitArgs {
   action: string;
   name: string;
 }
@@ -17,8 +17,8 @@
   command: 'data-centre <action> <name>',
   describe: 'Stop a data centre gracefully, or start it again',
   builder: (args) =>
-    withSubmission(
-      withOperators(
+    withSubmitOptions(
+      withOperatorOptions(
         args
           .positional('action', {
             choices: ['stop', 'start'],
@@ -29,7 +29,7 @@
       ),
     ),
   run: async (args, io) => {
-    const client = createOperatorsClient(args, io);
+    const client = createOperatorClient(args, io);
     const view = await fetchIntent(client);
     const state = args.action === 'stop' ? 'stopped' : 'serving';
     const current = view.document.dataCentres[args.name]?.state ?? 'serving';
@@ -41,7 +41,7 @@
       io.out(`accepted at version ${version}: ${args.name} is ${state}`);
     }
     if (state === 'stopped') {
-      return waitUntilQuiet(client, { name: args.name, version }, io, systemClock);
+      return waitUntilIdle(client, { name: args.name, version }, io, systemClock);
     }
     return exitCodes.ok;
   },
--- a/packages/plantaindrum/src/cli/data-centre/wait-until-quiet.ts
+++ b/packages/plantaindrum/src/cli/data-centre/wait-until-idle.ts
@@ -4,35 +4,35 @@
 import { exitCodes, sleep } from '@plantaindrum/common';
 import type { NodeReport } from '../../core/entry/node-reports.js';
 import type { CliIo } from '../io.js';
-import type { OperatorsClient } from '../operators-client.js';
+import type { OperatorClient } from '../operator-client.js';
 
-const POLL_MS = 500;
+const POLL_INTERVAL_MS = 500;
 /** Readings in a row that must find nothing: a request may be between two nodes at one reading. */
-const QUIET_READINGS = 3;
+const REQUIRED_IDLE_POLLS = 3;
 
 const describeNode = (
   { node, role, inFlight, intentOffset }: NodeReport,
   version: number,
 ): string => {
   if (inFlight === undefined) return `${node} (${role}) does not answer`;
-  const heard = (intentOffset ?? -1) >= version ? '' : ', has not heard of the stop';
-  return `${node} (${role}) ${inFlight}${heard}`;
+  const lag = (intentOffset ?? -1) >= version ? '' : ', has not heard of the stop';
+  return `${node} (${role}) ${inFlight}${lag}`;
 };
 
 /** A node that does not answer can't be waited for: it may be gone for good, and is shown. */
-const isQuiet = ({ inFlight, intentOffset }: NodeReport, version: number): boolean =>
+const isIdle = ({ inFlight, intentOffset }: NodeReport, version: number): boolean =>
   inFlight === undefined || (inFlight === 0 && (intentOffset ?? -1) >= version);
 
-const describeAll = (nodes: NodeReport[], version: number): string => {
-  const shown = nodes.filter((node) => !isQuiet(node, version) || node.inFlight === undefined);
+const describeInFlight = (nodes: NodeReport[], version: number): string => {
+  const shown = nodes.filter((node) => !isIdle(node, version) || node.inFlight === undefined);
   if (shown.length === 0) return 'nothing in flight';
   return `in flight: ${shown.map((node) => describeNode(node, version)).join('; ')}`;
 };
 
 /** The last line; operators pull cables on its word, so it speaks for nodes that answered only. */
-const describeEnd = (name: string, silent: NodeReport[]): string => {
-  if (silent.length === 0) return `${name} is stopped: nothing is in flight`;
-  const names = silent.map(({ node }) => node).join(', ');
+const describeResult = (name: string, unanswered: NodeReport[]): string => {
+  if (unanswered.length === 0) return `${name} is stopped: nothing is in flight`;
+  const names = unanswered.map(({ node }) => node).join(', ');
   return `${name}: nothing is in flight at the nodes that answer; no answer from ${names}`;
 };
 
@@ -40,25 +40,25 @@
  * Prints what is in flight, on each change, until nothing is and every node that answers knows of
  * the stop. Resolves with the exit code: `unreachable` when some node did not answer.
  */
-export const waitUntilQuiet = async (
-  client: Pick<OperatorsClient, 'get'>,
+export const waitUntilIdle = async (
+  client: Pick<OperatorClient, 'get'>,
   { name, version }: { name: string; version: number },
   io: Pick<CliIo, 'out'>,
   clock: Clock,
 ): Promise<number> => {
-  let printed = '';
-  let quiet = 0;
+  let lastLine = '';
+  let idlePolls = 0;
   let nodes: NodeReport[] = [];
-  while (quiet < QUIET_READINGS) {
+  while (idlePolls < REQUIRED_IDLE_POLLS) {
     const path = `/nodes?data-centre=${encodeURIComponent(name)}`;
     nodes = (await client.get(path)) as NodeReport[];
-    quiet = nodes.every((node) => isQuiet(node, version)) ? quiet + 1 : 0;
-    const line = describeAll(nodes, version);
-    if (line !== printed) io.out(line);
-    printed = line;
-    if (quiet < QUIET_READINGS) await sleep(clock, POLL_MS);
+    idlePolls = nodes.every((node) => isIdle(node, version)) ? idlePolls + 1 : 0;
+    const line = describeInFlight(nodes, version);
+    if (line !== lastLine) io.out(line);
+    lastLine = line;
+    if (idlePolls < REQUIRED_IDLE_POLLS) await sleep(clock, POLL_INTERVAL_MS);
   }
-  const silent = nodes.filter(({ inFlight }) => inFlight === undefined);
-  io.out(describeEnd(name, silent));
-  return silent.length === 0 ? exitCodes.ok : exitCodes.unreachable;
+  const unanswered = nodes.filter(({ inFlight }) => inFlight === undefined);
+  io.out(describeResult(name, unanswered));
+  return unanswered.length === 0 ? exitCodes.ok : exitCodes.unreachable;
 };
--- a/packages/plantaindrum/src/cli/entry/index.ts
+++ b/packages/plantaindrum/src/cli/entry/index.ts
@@ -17,40 +17,47 @@
 import { startEntry } from '../../core/entry/entry.js';
 import type { Command } from '../command.js';
 import type { CliIo } from '../io.js';
-import { watchSignals } from './signals.js';
+import { captureSignals } from './signals.js';
 
 /** The ready line is not held back longer than this, so that operators can look at the doors. */
-const READY_LINE_MS = 5_000;
+const READY_LINE_TIMEOUT_MS = 5_000;
 
-const codeOf = (err: unknown): string => {
+const errorCode = (err: unknown): string => {
   const { code, message } = err as { code?: unknown; message?: unknown };
   return String(code ?? message ?? err);
 };
 
-const start = async (file: string, ...args: Parameters<typeof startEntry>): Promise<Entry> => {
+const startOrReport = async (
+  file: string,
+  ...args: Parameters<typeof startEntry>
+): Promise<Entry> => {
   try {
     return await startEntry(...args);
   } catch (err) {
     const address = `an address of ${file}`;
-    throw new PlantaindrumError('listen-failed', { address, detail: codeOf(err) }, { cause: err });
+    throw new PlantaindrumError(
+      'listen-failed',
+      { address, detail: errorCode(err) },
+      { cause: err },
+    );
   }
 };
 
 /** Serves until the first signal and the end of every request, or until the second signal. */
 const serve = async (file: string, settings: EntrySettings, io: CliIo): Promise<number> => {
-  const nextSignal = watchSignals();
+  const nextSignal = captureSignals();
   const log = createLogger(settings.node.name);
   const metrics = createMetrics();
   const deps = { clock: systemClock, random: systemRandom, metrics, log };
-  const entry = await start(file, settings, deps);
+  const entry = await startOrReport(file, settings, deps);
   const signalled = nextSignal();
-  await Promise.race([entry.ready, sleep(systemClock, READY_LINE_MS), signalled]);
+  await Promise.race([entry.ready, sleep(systemClock, READY_LINE_TIMEOUT_MS), signalled]);
   const { callers, operators, link } = entry;
   io.out(JSON.stringify({ ready: entry.isReady(), callers, operators, link }));
   log.info(`${await signalled}: requests in flight may end, a second signal ends at once`);
-  const second = nextSignal().then(() => exitCodes.endedEarly);
+  const forced = nextSignal().then(() => exitCodes.endedEarly);
   const drained = entry.drain().then(() => exitCodes.ok);
-  return Promise.race([drained, second]);
+  return Promise.race([drained, forced]);
 };
 
 /** `plantaindrum entry`. */
--- a/packages/plantaindrum/src/cli/entry/signals.ts
+++ b/packages/plantaindrum/src/cli/entry/signals.ts
@@ -1,4 +1,4 @@
-import { createInbox } from '../../core/attempts/inbox.js';
+import { createAsyncQueue } from '../../core/attempts/async-queue.js';
 
 const SIGNALS: NodeJS.Signals[] = ['SIGINT', 'SIGTERM'];
 
@@ -7,8 +7,8 @@
  * next one. The handlers stay: a second signal that came between two handlers would otherwise end
  * the process by the system's default, without its exit code.
  */
-export const watchSignals = (): (() => Promise<NodeJS.Signals>) => {
-  const signals = createInbox<NodeJS.Signals>();
+export const captureSignals = (): (() => Promise<NodeJS.Signals>) => {
+  const signals = createAsyncQueue<NodeJS.Signals>();
   SIGNALS.forEach((name) => process.on(name, () => signals.push(name)));
   return signals.next;
 };
--- a/packages/plantaindrum/src/cli/main.ts
+++ b/packages/plantaindrum/src/cli/main.ts
@@ -13,7 +13,7 @@
 import { showCommand } from './show/index.js';
 import { statusCommand } from './status/index.js';
 
-const WIDTH = 100;
+const HELP_WIDTH = 100;
 
 const EPILOGUE = `Exit codes: ${Object.entries(exitCodes)
   .map(
@@ -21,7 +21,7 @@
   )
   .join(', ')}`;
 
-const version = (): string => {
+const packageVersion = (): string => {
   const text = readFileSync(new URL('../../package.json', import.meta.url), 'utf8');
   return (JSON.parse(text) as { version: string }).version;
 };
@@ -33,8 +33,8 @@
     .scriptName('plantaindrum')
     .usage('$0 <command> [options]')
     .epilogue(EPILOGUE)
-    .wrap(WIDTH)
-    .version(version())
+    .wrap(HELP_WIDTH)
+    .version(packageVersion())
     .locale('en')
     .strict()
     .demandCommand(1, 'A command is missing')
@@ -43,17 +43,17 @@
       throw err ?? new PlantaindrumError('usage', { detail: message });
     });
 
-  const add = <T>({ command, describe, builder, run }: Command<T>): void => {
+  const register = <T>({ command, describe, builder, run }: Command<T>): void => {
     parser = parser.command(command, describe, builder, async (args) => {
       exitCode = await run(args as T, io);
     });
   };
-  add(entryCommand);
-  add(checkCommand);
-  add(applyCommand);
-  add(showCommand);
-  add(statusCommand);
-  add(dataCentreCommand);
+  register(entryCommand);
+  register(checkCommand);
+  register(applyCommand);
+  register(showCommand);
+  register(statusCommand);
+  register(dataCentreCommand);
 
   try {
     await parser.parseAsync(argv, {}, (_err, _args, output) => {
--- a/packages/plantaindrum/src/cli/operators-client.ts
+++ b/packages/plantaindrum/src/cli/operator-client.ts
@@ -6,28 +6,28 @@
 import type { CliIo } from './io.js';
 
 /** Where a command finds a node. */
-export interface OperatorsArgs {
+export interface OperatorArgs {
   operators?: string;
   token?: string;
 }
 
 /** An answer of the operators' door. */
-export interface OperatorsAnswer {
+export interface OperatorResponse {
   status: number;
   body: unknown;
 }
 
 /** Calls one node's operators' door. */
-export interface OperatorsClient {
+export interface OperatorClient {
   get(path: string): Promise<unknown>;
-  post(path: string, body: unknown): Promise<OperatorsAnswer>;
+  post(path: string, body: unknown): Promise<OperatorResponse>;
 }
 
-const TIMEOUT_MS = 15_000;
+const REQUEST_TIMEOUT_MS = 15_000;
 const UNAUTHORISED = 401;
 
 /** Adds `--operators` and `--token`. */
-export const withOperators = <T>(args: Argv<T>) =>
+export const withOperatorOptions = <T>(args: Argv<T>) =>
   args
     .option('operators', {
       type: 'string',
@@ -40,13 +40,13 @@
   throw new PlantaindrumError('usage', { detail: `--${option} or ${variable} is missing` });
 };
 
-const codeOf = (err: unknown): string => {
+const errorCode = (err: unknown): string => {
   const { code, name } = err as { code?: unknown; name?: unknown };
   return String(code ?? name ?? err);
 };
 
 /** Creates a client for the node that the arguments or the environment name. */
-export const createOperatorsClient = (args: OperatorsArgs, io: CliIo): OperatorsClient => {
+export const createOperatorClient = (args: OperatorArgs, io: CliIo): OperatorClient => {
   const address = required(
     args.operators ?? io.env.PLANTAINDRUM_OPERATORS,
     'operators',
@@ -58,32 +58,34 @@
     method: 'GET' | 'POST',
     path: string,
     body?: unknown,
-  ): Promise<OperatorsAnswer> => {
+  ): Promise<OperatorResponse> => {
     try {
       const res = await request(`${address}${path}`, {
         method,
         headers: { authorization: `Bearer ${token}`, 'content-type': 'application/json' },
         body: body === undefined ? null : JSON.stringify(body),
-        signal: AbortSignal.timeout(TIMEOUT_MS),
+        signal: AbortSignal.timeout(REQUEST_TIMEOUT_MS),
       });
       return { status: res.statusCode, body: await res.body.json() };
     } catch (err) {
       throw new PlantaindrumError(
         'node-unreachable',
-        { address, detail: codeOf(err) },
+        { address, detail: errorCode(err) },
         { cause: err },
       );
     }
   };
 
-  const checked = async (answer: Promise<OperatorsAnswer>): Promise<OperatorsAnswer> => {
-    const settled = await answer;
-    if (settled.status === UNAUTHORISED) throw new PlantaindrumError('not-authorised', { address });
-    return settled;
+  const requireAuthorised = async (
+    pending: Promise<OperatorResponse>,
+  ): Promise<OperatorResponse> => {
+    const res = await pending;
+    if (res.status === UNAUTHORISED) throw new PlantaindrumError('not-authorised', { address });
+    return res;
   };
 
   return {
-    get: async (path) => (await checked(send('GET', path))).body,
-    post: (path, body) => checked(send('POST', path, body)),
+    get: async (path) => (await requireAuthorised(send('GET', path))).body,
+    post: (path, body) => requireAuthorised(send('POST', path, body)),
   };
 };
--- a/packages/plantaindrum/src/cli/show/index.ts
+++ b/packages/plantaindrum/src/cli/show/index.ts
@@ -1,16 +1,16 @@
 import { exitCodes } from '@plantaindrum/common';
 import type { Command } from '../command.js';
-import type { OperatorsArgs } from '../operators-client.js';
-import { createOperatorsClient, withOperators } from '../operators-client.js';
+import type { OperatorArgs } from '../operator-client.js';
+import { createOperatorClient, withOperatorOptions } from '../operator-client.js';
 import { fetchIntent } from '../submit.js';
 
 /** `plantaindrum show`. */
-export const showCommand: Command<OperatorsArgs> = {
+export const showCommand: Command<OperatorArgs> = {
   command: 'show',
   describe: "Print the operators' intent in force at a node, with its version",
-  builder: withOperators,
+  builder: withOperatorOptions,
   run: async (args, io) => {
-    const { offset, document } = await fetchIntent(createOperatorsClient(args, io));
+    const { offset, document } = await fetchIntent(createOperatorClient(args, io));
     io.out(`// version ${offset}`);
     io.out(JSON.stringify(document, null, 2));
     return exitCodes.ok;
--- a/packages/plantaindrum/src/cli/status/format.ts
+++ b/packages/plantaindrum/src/cli/status/format.ts
@@ -1,7 +1,7 @@
 import type { NodeReport } from '../../core/entry/node-reports.js';
-import type { EntryStatus, UpstreamLine } from '../../core/status/entry-status.js';
+import type { EntryStatus, UpstreamSummary } from '../../core/status/entry-status.js';
 
-const table = (rows: string[][]): string[] => {
+const alignColumns = (rows: string[][]): string[] => {
   const widths = (rows[0] ?? []).map((_, column) =>
     Math.max(...rows.map((row) => row[column]?.length ?? 0)),
   );
@@ -10,35 +10,36 @@
   );
 };
 
-const section = (title: string, head: string[], rows: string[][]): string[] =>
-  rows.length > 0 ? ['', title, ...table([head, ...rows])] : ['', `${title}: none`];
+const formatSection = (title: string, headers: string[], rows: string[][]): string[] =>
+  rows.length > 0 ? ['', title, ...alignColumns([headers, ...rows])] : ['', `${title}: none`];
 
-const percent = (share: number | undefined): string =>
+const formatPercent = (share: number | undefined): string =>
   share === undefined ? '-' : `${(share * 100).toFixed(1)}%`;
 
-const met = (value: boolean | undefined): string => {
+const formatMet = (value: boolean | undefined): string => {
   if (value === undefined) return 'no traffic';
   return value ? 'met' : 'MISSED';
 };
 
-const numberOf = (value: number | undefined): string => (value === undefined ? '-' : `${value}`);
+const formatNumber = (value: number | undefined): string =>
+  value === undefined ? '-' : `${value}`;
 
-const stateOf = ({ linked, leaving, health }: UpstreamLine): string => {
+const describeUpstreamState = ({ linked, leaving, health }: UpstreamSummary): string => {
   if (leaving) return 'leaving';
   return linked ? health : 'no link';
 };
 
-const readiness = (ready: boolean, reason: string | undefined): string =>
+const describeReadiness = (ready: boolean, reason: string | undefined): string =>
   ready ? 'ready' : `not ready${reason === undefined ? '' : `: ${reason}`}`;
 
-const intentLine = ({ offset, freshness }: EntryStatus['intent']): string => {
+const describeIntent = ({ offset, freshness }: EntryStatus['intent']): string => {
   const why = freshness.reason === undefined ? '' : `: ${freshness.reason}`;
   return `intent at version ${offset} (${freshness.state}${why})`;
 };
 
-const headLines = ({ node, ready, reason, inFlight, intent }: EntryStatus): string[] => [
-  `${node.name} (${node.role}, ${node.dataCentre}, ${node.region}): ${readiness(ready, reason)}`,
-  `${intentLine(intent)}; ${inFlight} in flight`,
+const headerLines = ({ node, ready, reason, inFlight, intent }: EntryStatus): string[] => [
+  `${node.name} (${node.role}, ${node.dataCentre}, ${node.region}): ${describeReadiness(ready, reason)}`,
+  `${describeIntent(intent)}; ${inFlight} in flight`,
 ];
 
 /** What an agent of an expert group tells; only a coordinator that holds the claim sees the map. */
@@ -53,19 +54,19 @@
   };
 }
 
-const groupReports = (nodes: NodeReport[], name: string): NodeReport[] =>
+const memberReports = (nodes: NodeReport[], name: string): NodeReport[] =>
   nodes.filter(({ group }) => (group as GroupReport | undefined)?.group === name);
 
 const coordinatorCells = (nodes: NodeReport[], name: string): string[] => {
-  const members = groupReports(nodes, name);
-  const found = members.find(({ group }) => (group as GroupReport).coordinator?.role === 'acting');
-  const seen = (found?.group as GroupReport | undefined)?.coordinator;
-  if (!found || !seen) return ['-', '-', '-', '-'];
-  const stragglers = (seen.stragglers ?? []).map(({ rank }) => `rank ${rank}`).join(', ');
+  const members = memberReports(nodes, name);
+  const acting = members.find(({ group }) => (group as GroupReport).coordinator?.role === 'acting');
+  const coordinator = (acting?.group as GroupReport | undefined)?.coordinator;
+  if (!acting || !coordinator) return ['-', '-', '-', '-'];
+  const stragglers = (coordinator.stragglers ?? []).map(({ rank }) => `rank ${rank}`).join(', ');
   return [
-    found.node,
-    numberOf(seen.version),
-    seen.imbalance === undefined ? '-' : seen.imbalance.toFixed(2),
+    acting.node,
+    formatNumber(coordinator.version),
+    coordinator.imbalance === undefined ? '-' : coordinator.imbalance.toFixed(2),
     stragglers || 'none',
   ];
 };
@@ -75,11 +76,11 @@
   role,
   dataCentre,
   inFlight === undefined ? 'no answer' : `${inFlight}`,
-  numberOf(intentOffset),
+  formatNumber(intentOffset),
 ];
 
 /** What `status` uses of an agent's document. */
-export interface AgentReport {
+export interface AgentStatus {
   node: { name: string; dataCentre: string; region: string; role: 'agent' };
   ready: boolean;
   inFlight: number;
@@ -89,44 +90,48 @@
 }
 
 /** The text of `plantaindrum status` for an agent. */
-export const formatAgent = ({ node, ready, load, intent, group }: AgentReport): string =>
+export const formatAgentStatus = ({ node, ready, load, intent, group }: AgentStatus): string =>
   [
-    `${node.name} (${node.role}, ${node.dataCentre}, ${node.region}): ${readiness(ready, undefined)}`,
-    `${intentLine(intent)}; ${load.queued} queued, ${load.running} running, ${load.drainPerSecond.toFixed(1)} served a second${load.leaving ? ', leaving' : ''}`,
+    `${node.name} (${node.role}, ${node.dataCentre}, ${node.region}): ${describeReadiness(ready, undefined)}`,
+    `${describeIntent(intent)}; ${load.queued} queued, ${load.running} running, ${load.drainPerSecond.toFixed(1)} served a second${load.leaving ? ', leaving' : ''}`,
     ...(group === undefined ? [] : [`group: ${JSON.stringify(group)}`]),
   ].join('\n');
 
 /** The text of `plantaindrum status` for an entry. */
-export const formatStatus = (status: EntryStatus, nodes: NodeReport[]): string =>
+export const formatEntryStatus = (status: EntryStatus, nodes: NodeReport[]): string =>
   [
-    ...headLines(status),
-    ...section(
+    ...headerLines(status),
+    ...formatSection(
       'Classes (last minute)',
       ['class', 'latest answer', 'target', 'served', 'requests', ''],
       status.classes.map((line) => [
         line.name,
         `${line.latestAnswerMs} ms`,
-        percent(line.share),
-        percent(line.served),
+        formatPercent(line.share),
+        formatPercent(line.served),
         `${line.requests}`,
-        met(line.met),
+        formatMet(line.met),
       ]),
     ),
-    ...section('Nodes', ['node', 'role', 'data centre', 'in flight', 'intent'], nodes.map(nodeRow)),
-    ...section(
+    ...formatSection(
+      'Nodes',
+      ['node', 'role', 'data centre', 'in flight', 'intent'],
+      nodes.map(nodeRow),
+    ),
+    ...formatSection(
       'Upstreams',
       ['upstream', 'data centre', 'serves', 'state', 'outstanding', 'queued', 'running'],
       status.upstreams.map((line) => [
         line.name,
         line.dataCentre,
         line.serves,
-        stateOf(line),
+        describeUpstreamState(line),
         `${line.outstanding}`,
-        numberOf(line.queued),
-        numberOf(line.running),
+        formatNumber(line.queued),
+        formatNumber(line.running),
       ]),
     ),
-    ...section(
+    ...formatSection(
       'Expert groups',
       ['group', 'upstreams', 'linked', 'coordinator', 'map', 'imbalance', 'stragglers'],
       status.groups.map((line) => [
@@ -136,7 +141,7 @@
         ...coordinatorCells(nodes, line.name),
       ]),
     ),
-    ...section(
+    ...formatSection(
       'Organisations',
       ['organisation', 'answered', 'refused', 'gone'],
       status.organisations.map((line) => [
@@ -146,7 +151,7 @@
         `${line.gone}`,
       ]),
     ),
-    ...section(
+    ...formatSection(
       'Data centres',
       ['data centre', 'state'],
       status.dataCentres.map((line) => [line.name, line.state]),
--- a/packages/plantaindrum/src/cli/submit.ts
+++ b/packages/plantaindrum/src/cli/submit.ts
@@ -5,7 +5,7 @@
 import type { Argv } from 'yargs';
 import { PlantaindrumError } from '@plantaindrum/common';
 import type { IntentChange, IntentView, SubmitOutcome } from '@plantaindrum/intent';
-import type { OperatorsClient } from './operators-client.js';
+import type { OperatorClient } from './operator-client.js';
 
 /** Arguments of commands that change the intent. */
 export interface SubmitArgs {
@@ -14,7 +14,7 @@
 }
 
 /** Adds `--id` and `--author`. */
-export const withSubmission = <T>(args: Argv<T>) =>
+export const withSubmitOptions = <T>(args: Argv<T>) =>
   args
     .option('id', {
       type: 'string',
@@ -23,10 +23,12 @@
     .option('author', { type: 'string', describe: 'Who changes it; default: the login name' });
 
 /** The intent in force at the node. */
-export const fetchIntent = async (client: OperatorsClient): Promise<IntentView> =>
+export const fetchIntent = async (client: OperatorClient): Promise<IntentView> =>
   (await client.get('/intent')) as IntentView;
 
-const failed = (outcome: Exclude<SubmitOutcome, { outcome: 'accepted' }>): PlantaindrumError => {
+const submitError = (
+  outcome: Exclude<SubmitOutcome, { outcome: 'accepted' }>,
+): PlantaindrumError => {
   if (outcome.outcome === 'conflict') {
     const { key, base, version, author } = outcome.conflicts[0] ?? { key: '', base: 0, version: 0 };
     const by = author === undefined ? '' : ` by ${author}`;
@@ -41,7 +43,7 @@
 
 /** Submits changes and resolves with the version once they are accepted; throws otherwise. */
 export const submitChanges = async (
-  client: OperatorsClient,
+  client: OperatorClient,
   changes: IntentChange[],
   args: SubmitArgs,
 ): Promise<number> => {
@@ -50,5 +52,5 @@
   const { body } = await client.post('/intent', { id, author, changes });
   const outcome = body as SubmitOutcome;
   if (outcome.outcome === 'accepted') return outcome.version;
-  throw failed(outcome);
+  throw submitError(outcome);
 };
--- a/packages/plantaindrum/src/core/attempts/inbox.ts
+++ b/packages/plantaindrum/src/core/attempts/async-queue.ts
@@ -1,30 +1,30 @@
 /** A queue with one reader. */
-export interface Inbox<T> {
+export interface AsyncQueue<T> {
   push(item: T): void;
   /** Resolves with the oldest item, waiting for one if there is none. */
   next(): Promise<T>;
 }
 
 /** Creates an empty inbox. */
-export const createInbox = <T>(): Inbox<T> => {
+export const createAsyncQueue = <T>(): AsyncQueue<T> => {
   const items: T[] = [];
-  let waiting: ((item: T) => void) | undefined;
+  let resolveNext: ((item: T) => void) | undefined;
 
   return {
     push: (item) => {
-      if (!waiting) {
+      if (!resolveNext) {
         items.push(item);
         return;
       }
-      const resume = waiting;
-      waiting = undefined;
-      resume(item);
+      const resolve = resolveNext;
+      resolveNext = undefined;
+      resolve(item);
     },
     next: () => {
       const item = items.shift();
       if (item !== undefined) return Promise.resolve(item);
       return new Promise((resolve) => {
-        waiting = resolve;
+        resolveNext = resolve;
       });
     },
   };
--- a/packages/plantaindrum/src/core/attempts/types.ts
+++ b/packages/plantaindrum/src/core/attempts/types.ts
@@ -27,7 +27,7 @@
   | { t: 'timer' };
 
 /** What an entry sends in a dispatch; the attempt adds its id. */
-export type Work = Omit<Dispatch, 't' | 'id'>;
+export type DispatchPayload = Omit<Dispatch, 't' | 'id'>;
 
 /** How one attempt ended. `not-run` is proved; `unknown` may have run. */
 export type AttemptOutcome =
@@ -37,7 +37,7 @@
   | { outcome: 'caller-gone' };
 
 /** Where an attempt's answer goes. */
-export interface AnswerSink {
+export interface ResponseSink {
   /** False when this head can't continue the answer that the caller already has a part of. */
   head(status: number, headers: Record<string, string>): boolean;
   /** Resolves once the caller has room for more; false when the bytes break the answer's order. */
--- a/packages/plantaindrum/src/core/callers/answer.ts
+++ b/packages/plantaindrum/src/core/callers/caller-response.ts
@@ -3,21 +3,21 @@
 import type { ServerResponse } from 'node:http';
 import type { Clock, Metrics, Refusal } from '@plantaindrum/common';
 import { refusalBody, refusalEvent, refusalHeaders, refusalStatus } from '@plantaindrum/common';
-import type { AnswerSink } from '../attempts/types.js';
-import type { EventSplitter, WholeEvent } from './event-splitter.js';
-import { createEventSplitter } from './event-splitter.js';
-import { answeredHeaders } from './headers.js';
-import { createRoom } from './room.js';
+import type { ResponseSink } from '../attempts/types.js';
+import type { EventStreamParser, ServerSentEvent } from './event-stream-parser.js';
+import { createEventStreamParser } from './event-stream-parser.js';
+import { responseHeaders } from './headers.js';
+import { createDrainWait } from './drain-wait.js';
 
 /** Answers up to this many bytes are held until they are whole, so that a failure can be told. */
-const HELD_BYTES = 1_048_576;
+const MAX_BUFFERED_BYTES = 1_048_576;
 
 /** An answer as the entry sees it. */
-export interface Answer {
+export interface CallerResponse {
   /** A sink for the next attempt; the one before is no longer used. */
-  attempt(): AnswerSink;
+  createSink(): ResponseSink;
   /** Whether the caller has got a part of an answer. */
-  begun(): boolean;
+  hasStarted(): boolean;
   /** Whether that part is a stream which another attempt can continue, and after which event. */
   resumeAfter(): string | undefined;
   /** Refuses, or breaks off what was begun; never a clean end. */
@@ -27,12 +27,12 @@
 }
 
 /** What an answer needs. */
-export interface AnswerOptions {
+export interface CallerResponseOptions {
   res: ServerResponse;
   clock: Clock;
   metrics: Metrics;
   /** A stream must end in `[DONE]` (OpenAI completions). */
-  endsInDone: boolean;
+  requiresDone: boolean;
   /** Told of each event or first byte that went to the caller. */
   onSent: () => void;
 }
@@ -40,107 +40,107 @@
 const isEventStream = (headers: Record<string, string>): boolean =>
   (headers['content-type'] ?? '').startsWith('text/event-stream');
 
-const idNumber = (id: string | undefined): number | undefined =>
+const parseEventNumber = (id: string | undefined): number | undefined =>
   id !== undefined && /^\d+$/.test(id) ? Number(id) : undefined;
 
 /** Creates the answer to one request. */
-export const createAnswer = (options: AnswerOptions): Answer => {
-  const { res, clock, metrics, endsInDone, onSent } = options;
-  const room = createRoom(res, clock, metrics);
+export const createCallerResponse = (options: CallerResponseOptions): CallerResponse => {
+  const { res, clock, metrics, requiresDone, onSent } = options;
+  const waitForDrain = createDrainWait(res, clock, metrics);
   let status: number | undefined;
-  let stream = false;
-  let lastId: string | undefined;
+  let isStreaming = false;
+  let lastEventId: string | undefined;
   let doneSeen = false;
 
-  const begin = (headers: Record<string, string>, length?: number): void => {
+  const writeHead = (headers: Record<string, string>, length?: number): void => {
     const hasLength = length !== undefined && status !== 204 && status !== 304;
     res.writeHead(status ?? 200, {
-      ...answeredHeaders(headers),
+      ...responseHeaders(headers),
       ...(hasLength && { 'content-length': String(length) }),
     });
   };
 
-  const writeEvent = (event: WholeEvent, headers: Record<string, string>): boolean => {
-    const at = idNumber(event.id);
-    const last = idNumber(lastId);
+  const writeEvent = (event: ServerSentEvent, headers: Record<string, string>): boolean => {
+    const eventNumber = parseEventNumber(event.id);
+    const lastNumber = parseEventNumber(lastEventId);
     // An upstream that resumed too early repeats events; one that resumed too late leaves a gap.
-    if (at !== undefined && last !== undefined) {
-      if (at <= last) {
+    if (eventNumber !== undefined && lastNumber !== undefined) {
+      if (eventNumber <= lastNumber) {
         metrics.count('events_repeated');
         return true;
       }
-      if (at > last + 1) return false;
+      if (eventNumber > lastNumber + 1) return false;
     }
-    if (event.id !== undefined) lastId = event.id;
+    if (event.id !== undefined) lastEventId = event.id;
     doneSeen ||= event.done;
-    if (!res.headersSent) begin(headers);
+    if (!res.headersSent) writeHead(headers);
     res.write(event.bytes);
     onSent();
     return true;
   };
 
-  const streamSink = (headers: Record<string, string>): Pick<AnswerSink, 'write' | 'end'> => {
-    const splitter: EventSplitter = createEventSplitter();
+  const streamSink = (headers: Record<string, string>): Pick<ResponseSink, 'write' | 'end'> => {
+    const splitter: EventStreamParser = createEventStreamParser();
     return {
       write: async (data) => {
         const inOrder = splitter.push(data).every((event) => writeEvent(event, headers));
-        await room();
+        await waitForDrain();
         return inOrder;
       },
       end: () => {
-        if (splitter.pending() > 0 || (endsInDone && !doneSeen)) return false;
-        if (!res.headersSent) begin(headers);
+        if (splitter.pendingBytes() > 0 || (requiresDone && !doneSeen)) return false;
+        if (!res.headersSent) writeHead(headers);
         res.end();
         return true;
       },
     };
   };
 
-  const heldSink = (headers: Record<string, string>): Pick<AnswerSink, 'write' | 'end'> => {
-    let held: Uint8Array[] = [];
-    let heldBytes = 0;
-    const release = (): void => {
-      held.forEach((part) => res.write(part));
-      held = [];
+  const bufferedSink = (headers: Record<string, string>): Pick<ResponseSink, 'write' | 'end'> => {
+    let buffered: Uint8Array[] = [];
+    let bufferedBytes = 0;
+    const flush = (): void => {
+      buffered.forEach((part) => res.write(part));
+      buffered = [];
     };
     return {
       write: async (data) => {
-        held.push(data);
-        heldBytes += data.length;
-        if (heldBytes <= HELD_BYTES) return true;
+        buffered.push(data);
+        bufferedBytes += data.length;
+        if (bufferedBytes <= MAX_BUFFERED_BYTES) return true;
         if (!res.headersSent) {
-          begin(headers);
+          writeHead(headers);
           onSent();
         }
-        release();
-        await room();
+        flush();
+        await waitForDrain();
         return true;
       },
       end: () => {
         if (!res.headersSent) {
-          begin(headers, heldBytes);
+          writeHead(headers, bufferedBytes);
           onSent();
         }
-        release();
+        flush();
         res.end();
         return true;
       },
     };
   };
 
-  const attempt = (): AnswerSink => {
-    let body: Pick<AnswerSink, 'write' | 'end'> | undefined;
+  const createSink = (): ResponseSink => {
+    let body: Pick<ResponseSink, 'write' | 'end'> | undefined;
     return {
       head: (nextStatus, headers) => {
         const isStream = isEventStream(headers) && nextStatus === 200;
         if (res.headersSent) {
-          if (!stream || !isStream) return false;
+          if (!isStreaming || !isStream) return false;
           body = streamSink(headers);
           return true;
         }
         status = nextStatus;
-        stream = isStream;
-        body = isStream ? streamSink(headers) : heldSink(headers);
+        isStreaming = isStream;
+        body = isStream ? streamSink(headers) : bufferedSink(headers);
         return true;
       },
       write: async (data) => (body ? body.write(data) : false),
@@ -155,7 +155,7 @@
       res.end(text);
       return;
     }
-    if (!stream) {
+    if (!isStreaming) {
       res.destroy();
       return;
     }
@@ -164,9 +164,9 @@
   };
 
   return {
-    attempt,
-    begun: () => res.headersSent,
-    resumeAfter: () => (stream ? lastId : undefined),
+    createSink,
+    hasStarted: () => res.headersSent,
+    resumeAfter: () => (isStreaming ? lastEventId : undefined),
     refuse,
     status: () => status,
   };
--- a/packages/plantaindrum/src/core/callers/door.ts
+++ b/packages/plantaindrum/src/core/callers/caller-server.ts
@@ -9,26 +9,26 @@
 import type { ServeOptions } from '../requests/serve-request.js';
 import { serveRequest } from '../requests/serve-request.js';
 import type { ClassTargets } from '../status/class-targets.js';
-import { createAnswer } from './answer.js';
+import { createCallerResponse } from './caller-response.js';
 import { createRequestReader } from './request-reader.js';
-import { createRequestTimes } from './request-times.js';
-import { untilTaken } from './room.js';
+import { createRequestMetrics } from './request-metrics.js';
+import { waitUntilSent } from './drain-wait.js';
 
 /** What the callers' door needs. */
-export interface CallersDoorOptions {
+export interface CallerServerOptions {
   listen: EntrySettings['callers'];
   limits: EntrySettings['limits'];
   intent: Pick<IntentReader, 'current'>;
   /** Why nothing new is taken now, if so. */
-  closedFor: () => Refusal | undefined;
+  newRequestRefusal: () => Refusal | undefined;
   serve: ServeOptions;
-  targets: Pick<ClassTargets, 'note'>;
+  targets: Pick<ClassTargets, 'record'>;
   clock: Clock;
   metrics: Metrics;
 }
 
 /** An open door. */
-export interface CallersDoor {
+export interface CallerServer {
   url: string;
   /** Requests that have no whole answer yet. */
   inFlight(): number;
@@ -39,22 +39,22 @@
 }
 
 /** Time that a caller has to send its header, and its whole request, in milliseconds. */
-const HEADERS_MS = 10_000;
-const REQUEST_MS = 60_000;
+const HEADERS_TIMEOUT_MS = 10_000;
+const REQUEST_TIMEOUT_MS = 60_000;
 /** Connections for each allowed one above which a new one is closed without an answer. */
-const DROP_FACTOR = 2;
+const DROP_CONNECTIONS_FACTOR = 2;
 
 const listen = (server: Server, { host, port }: { host: string; port: number }): Promise<string> =>
   new Promise((resolve, reject) => {
     server.once('error', reject);
     server.listen(port, host, () => {
-      const { port: taken } = server.address() as AddressInfo;
-      resolve(`http://${host}:${taken}`);
+      const { port: boundPort } = server.address() as AddressInfo;
+      resolve(`http://${host}:${boundPort}`);
     });
   });
 
 /** A refusal as raw HTTP, for connections that have no request yet. */
-const rawRefusal = (refusal: Refusal): string => {
+const formatRawRefusal = (refusal: Refusal): string => {
   const body = JSON.stringify(refusalBody(refusal));
   const headers = {
     ...refusalHeaders(refusal),
@@ -66,11 +66,11 @@
 };
 
 /** Opens the callers' door; rejects when the address can't be listened on. */
-export const openCallersDoor = async (options: CallersDoorOptions): Promise<CallersDoor> => {
-  const { limits, closedFor, clock, metrics } = options;
+export const createCallerServer = async (options: CallerServerOptions): Promise<CallerServer> => {
+  const { limits, newRequestRefusal, clock, metrics } = options;
   const readRequest = createRequestReader(options);
   const overLimit = new WeakSet<Socket>();
-  const tooMany: Refusal = {
+  const tooManyConnections: Refusal = {
     reason: 'too-many-connections',
     data: { limit: limits.connections },
   };
@@ -86,10 +86,10 @@
   };
 
   const serve = async (req: IncomingMessage, res: ServerResponse): Promise<void> => {
-    const closed = overLimit.has(req.socket) ? tooMany : closedFor();
-    if (closed) {
+    const refusal = overLimit.has(req.socket) ? tooManyConnections : newRequestRefusal();
+    if (refusal) {
       res.setHeader('connection', 'close');
-      refuse(res, closed);
+      refuse(res, refusal);
       return;
     }
     const read = await readRequest(req);
@@ -103,30 +103,30 @@
     }
     const request = read.value;
     const { target } = request;
-    const times = createRequestTimes(request, options);
-    const answer = createAnswer({
+    const requestMetrics = createRequestMetrics(request, options);
+    const response = createCallerResponse({
       res,
       clock,
       metrics,
-      endsInDone: target.kind === 'model' && target.stream,
-      onSent: times.sent,
+      requiresDone: target.kind === 'model' && target.stream,
+      onSent: requestMetrics.recordSent,
     });
-    const onCallerGone = (fn: () => void): (() => void) => {
+    const onCallerDisconnect = (fn: () => void): (() => void) => {
       if (res.destroyed) fn();
       res.on('close', fn);
       return () => res.off('close', fn);
     };
-    const end = await serveRequest(request, answer, onCallerGone, options.serve);
+    const end = await serveRequest(request, response, onCallerDisconnect, options.serve);
     if (end.outcome === 'refused') countRefusal(end.refusal);
-    times.ended(end);
+    requestMetrics.recordEnd(end);
   };
 
-  const serveCounted = async (req: IncomingMessage, res: ServerResponse): Promise<void> => {
+  const serveAndCount = async (req: IncomingMessage, res: ServerResponse): Promise<void> => {
     inFlight += 1;
     metrics.gauge('requests_in_flight', inFlight);
     await serve(req, res);
     // Closing the door destroys connections; what is written and not yet sent would be lost.
-    await untilTaken(res, clock, metrics);
+    await waitUntilSent(res, clock, metrics);
     inFlight -= 1;
     metrics.gauge('requests_in_flight', inFlight);
     if (inFlight === 0) onIdle();
@@ -134,17 +134,17 @@
 
   const serverOptions = {
     maxHeaderSize: limits.headerBytes,
-    headersTimeout: HEADERS_MS,
-    requestTimeout: REQUEST_MS,
+    headersTimeout: HEADERS_TIMEOUT_MS,
+    requestTimeout: REQUEST_TIMEOUT_MS,
   };
   const server = createServer(serverOptions, (req, res) => {
-    void serveCounted(req, res);
+    void serveAndCount(req, res);
   });
 
   // Connections over the limit are told so in answer to their request: a refusal before it would
   // be lost in the reset that its arrival at a closed socket causes. Far more are dropped unheard.
-  server.maxConnections = limits.connections * DROP_FACTOR;
-  server.on('drop', () => countRefusal(tooMany));
+  server.maxConnections = limits.connections * DROP_CONNECTIONS_FACTOR;
+  server.on('drop', () => countRefusal(tooManyConnections));
   let connections = 0;
   server.on('connection', (socket: Socket) => {
     connections += 1;
@@ -161,7 +161,7 @@
         ? { reason: 'header-too-large', data: { limit: limits.headerBytes } }
         : { reason: 'bad-request', data: { detail: err.code ?? err.message } };
     countRefusal(refusal);
-    socket.end(rawRefusal(refusal));
+    socket.end(formatRawRefusal(refusal));
   });
 
   const url = await listen(server, options.listen);
--- a/packages/plantaindrum/src/core/callers/room.ts
+++ b/packages/plantaindrum/src/core/callers/drain-wait.ts
@@ -2,13 +2,13 @@
 import type { Clock, Metrics } from '@plantaindrum/common';
 
 /** Time that a caller may leave an answer unread, in milliseconds. */
-const MOST_UNREAD_MS = 60_000;
+const STALLED_CALLER_TIMEOUT_MS = 60_000;
 
 /**
  * Creates the wait until the caller has room for more, or has gone. A caller that stops reading but
  * stays connected would hold its place at the engine for good, so its connection is ended.
  */
-export const createRoom =
+export const createDrainWait =
   (res: ServerResponse, clock: Clock, metrics: Metrics): (() => Promise<void>) =>
   () =>
     new Promise((resolve) => {
@@ -16,7 +16,7 @@
         resolve();
         return;
       }
-      const cancel = clock.after(MOST_UNREAD_MS, () => {
+      const cancel = clock.after(STALLED_CALLER_TIMEOUT_MS, () => {
         metrics.count('callers_stalled');
         res.destroy();
       });
@@ -31,13 +31,13 @@
     });
 
 /** Resolves when the whole answer has left this process, or its caller has gone or stalled. */
-export const untilTaken = (res: ServerResponse, clock: Clock, metrics: Metrics): Promise<void> =>
+export const waitUntilSent = (res: ServerResponse, clock: Clock, metrics: Metrics): Promise<void> =>
   new Promise((resolve) => {
     if (res.closed) {
       resolve();
       return;
     }
-    const cancel = clock.after(MOST_UNREAD_MS, () => {
+    const cancel = clock.after(STALLED_CALLER_TIMEOUT_MS, () => {
       metrics.count('callers_stalled');
       res.destroy();
     });
--- a/packages/plantaindrum/src/core/callers/event-splitter.ts
+++ b/packages/plantaindrum/src/core/callers/event-stream-parser.ts
@@ -3,7 +3,7 @@
 import { createEventCutter } from '@plantaindrum/common';
 
 /** One whole event with its blank line. */
-export interface WholeEvent {
+export interface ServerSentEvent {
   bytes: Buffer;
   /** Last `id` field of the event. */
   id?: string;
@@ -12,13 +12,13 @@
 }
 
 /** Collects bytes and gives out whole events. */
-export interface EventSplitter {
-  push(data: Uint8Array): WholeEvent[];
+export interface EventStreamParser {
+  push(data: Uint8Array): ServerSentEvent[];
   /** Bytes of an event that is not whole yet. */
-  pending(): number;
+  pendingBytes(): number;
 }
 
-const parseEvent = (bytes: Buffer): WholeEvent => {
+const parseEvent = (bytes: Buffer): ServerSentEvent => {
   const lines = bytes.toString('utf8').split(/\r?\n/);
   const ids = lines.filter((line) => line.startsWith('id:')).map((line) => line.slice(3).trim());
   const done = lines.some((line) => /^data: ?\[DONE\]$/.test(line));
@@ -27,10 +27,10 @@
 };
 
 /** Creates an empty splitter. */
-export const createEventSplitter = (): EventSplitter => {
+export const createEventStreamParser = (): EventStreamParser => {
   const cutter = createEventCutter();
   return {
     push: (data) => cutter.push(data).map(parseEvent),
-    pending: cutter.pending,
+    pendingBytes: cutter.pending,
   };
 };
--- a/packages/plantaindrum/src/core/callers/identify.ts
+++ b/packages/plantaindrum/src/core/callers/identify.ts
@@ -10,7 +10,7 @@
 export const COMPLETIONS_PATH = '/v1/completions';
 
 /** What a request asks for. */
-export type Target =
+export type RequestTarget =
   | { kind: 'model'; model: string; stream: boolean; prompt: string }
   | { kind: 'service'; service: string };
 
@@ -22,16 +22,16 @@
 const sha256 = (text: string): string => createHash('sha256').update(text).digest('hex');
 
 /** Finds organisations by API key; the table is made anew with each version of the intent. */
-export const createKeyTable = (): ((
+export const createOrganisationLookup = (): ((
   view: IntentView,
   headers: IncomingHttpHeaders,
 ) => string | undefined) => {
-  let madeFrom: IntentDocument | undefined;
-  let byHash = new Map<string, string>();
+  let indexedDocument: IntentDocument | undefined;
+  let organisationByKeyHash = new Map<string, string>();
 
-  const rebuild = (document: IntentDocument): void => {
-    madeFrom = document;
-    byHash = new Map(
+  const rebuildIndex = (document: IntentDocument): void => {
+    indexedDocument = document;
+    organisationByKeyHash = new Map(
       Object.entries(document.organisations).flatMap(([name, organisation]) =>
         organisation.keyHashes.map((hash) => [hash, name] as const),
       ),
@@ -39,14 +39,14 @@
   };
 
   return (view, headers) => {
-    if (view.document !== madeFrom) rebuild(view.document);
+    if (view.document !== indexedDocument) rebuildIndex(view.document);
     const key = /^Bearer (.+)$/i.exec(headers.authorization ?? '')?.[1];
-    return key === undefined ? undefined : byHash.get(sha256(key));
+    return key === undefined ? undefined : organisationByKeyHash.get(sha256(key));
   };
 };
 
 /** Whole segments only: a route to `/exports` must not catch `/exports-archive`. */
-const isBelow = (path: string, prefix: string): boolean => {
+const isUnderPrefix = (path: string, prefix: string): boolean => {
   if (!path.startsWith(prefix)) return false;
   const next = path[prefix.length];
   return prefix.endsWith('/') || next === undefined || next === '/' || next === '?';
@@ -55,14 +55,14 @@
 /** The route with the longest prefix of the path. */
 export const findRoute = (document: IntentDocument, path: string): RouteIntent | undefined =>
   Object.values(document.routes)
-    .filter(({ pathPrefix }) => isBelow(path, pathPrefix))
+    .filter(({ pathPrefix }) => isUnderPrefix(path, pathPrefix))
     .sort((a, b) => b.pathPrefix.length - a.pathPrefix.length)[0];
 
 const headerText = (value: string | string[] | undefined): string | undefined =>
   Array.isArray(value) ? value[0] : value;
 
 /** The name comes from a caller: it must not find what an object has by its nature. */
-const classOf = (document: IntentDocument, name: string): ClassIntent | undefined =>
+const findDeclaredClass = (document: IntentDocument, name: string): ClassIntent | undefined =>
   Object.hasOwn(document.classes, name) ? document.classes[name] : undefined;
 
 /**
@@ -79,12 +79,12 @@
     headerText(headers['x-plantaindrum-class']) ??
     route?.class ??
     document.organisations[organisation]?.defaultClass;
-  const declared = name === undefined ? undefined : classOf(document, name);
+  const declared = name === undefined ? undefined : findDeclaredClass(document, name);
   if (name === undefined || !declared) {
     return fail({ reason: 'unknown-class', ...(name !== undefined && { data: { class: name } }) });
   }
-  const ofRoute = route && document.classes[route.class];
-  const mayNotRepeat = declared.mayNotRepeat || (ofRoute?.mayNotRepeat ?? false);
+  const routeClass = route && document.classes[route.class];
+  const mayNotRepeat = declared.mayNotRepeat || (routeClass?.mayNotRepeat ?? false);
   return ok({ ...declared, name, mayNotRepeat });
 };
 
@@ -100,7 +100,7 @@
 };
 
 /** Reads the model's name and the wish for a stream from a completion request. */
-export const parseCompletion = (body: Buffer): Result<Target, Refusal> => {
+export const parseCompletion = (body: Buffer): Result<RequestTarget, Refusal> => {
   const document = parseJson(body);
   if (typeof document !== 'object' || document === null) return badRequest('the body is not JSON');
   const { model, stream, prompt } = document as Record<string, unknown>;
--- a/packages/plantaindrum/src/core/callers/read-body.ts
+++ b/packages/plantaindrum/src/core/callers/read-body.ts
@@ -3,7 +3,7 @@
 import { fail, ok } from '@plantaindrum/common';
 
 /** How many times the limit is read and thrown away, so that the caller gets to read the refusal. */
-const DISCARD_FACTOR = 8;
+const DISCARD_LIMIT_FACTOR = 8;
 
 const tooLarge = (limit: number): Refusal => ({ reason: 'body-too-large', data: { limit } });
 
@@ -11,7 +11,7 @@
   let discarded = 0;
   req.on('data', (data: Buffer) => {
     discarded += data.length;
-    if (discarded > limit * DISCARD_FACTOR) req.destroy();
+    if (discarded > limit * DISCARD_LIMIT_FACTOR) req.destroy();
   });
 };
 
@@ -27,15 +27,15 @@
   return new Promise((resolve) => {
     const parts: Buffer[] = [];
     let length = 0;
-    const take = (data: Buffer): void => {
+    const onData = (data: Buffer): void => {
       parts.push(data);
       length += data.length;
       if (length <= limit) return;
-      req.off('data', take);
+      req.off('data', onData);
       discardRest(req, limit);
       resolve(fail(tooLarge(limit)));
     };
-    req.on('data', take);
+    req.on('data', onData);
     req.once('end', () => resolve(ok(Buffer.concat(parts))));
     req.once('error', () => resolve(undefined));
     req.once('close', () => resolve(undefined));
--- a/packages/plantaindrum/src/core/callers/request-times.ts
+++ b/packages/plantaindrum/src/core/callers/request-metrics.ts
@@ -3,43 +3,44 @@
 import type { ClassTargets } from '../status/class-targets.js';
 
 /** Measures one request; the target of its class is its first byte or token. */
-export interface RequestTimes {
+export interface RequestMetrics {
   /** A part of the answer went to the caller. */
-  sent(): void;
-  ended(end: RequestEnd): void;
+  recordSent(): void;
+  recordEnd(end: RequestEnd): void;
 }
 
 /** Where the figures go. */
-export interface RequestTimesOptions {
-  targets: Pick<ClassTargets, 'note'>;
+export interface RequestMetricsOptions {
+  targets: Pick<ClassTargets, 'record'>;
   clock: Clock;
   metrics: Metrics;
 }
 
 /** Creates the measure of one request. */
-export const createRequestTimes = (
+export const createRequestMetrics = (
   { arrivedAt, class: requestClass, organisation }: EntryRequest,
-  { targets, clock, metrics }: RequestTimesOptions,
-): RequestTimes => {
+  { targets, clock, metrics }: RequestMetricsOptions,
+): RequestMetrics => {
   const labels = { class: requestClass.name };
-  let first: number | undefined;
-  let last = arrivedAt;
+  let firstSentAt: number | undefined;
+  let lastSentAt = arrivedAt;
 
   const isWithinTarget = (end: RequestEnd): boolean =>
-    end.outcome === 'answered' && (first ?? Infinity) - arrivedAt <= requestClass.latestAnswerMs;
+    end.outcome === 'answered' &&
+    (firstSentAt ?? Infinity) - arrivedAt <= requestClass.latestAnswerMs;
 
   return {
-    sent: () => {
+    recordSent: () => {
       const now = clock.monotonic();
-      const name = first === undefined ? 'first_token_ms' : 'between_tokens_ms';
-      metrics.record(name, now - last, labels);
-      first ??= now;
-      last = now;
+      const name = firstSentAt === undefined ? 'first_token_ms' : 'between_tokens_ms';
+      metrics.record(name, now - lastSentAt, labels);
+      firstSentAt ??= now;
+      lastSentAt = now;
     },
-    ended: (end) => {
+    recordEnd: (end) => {
       metrics.count('requests_ended', { ...labels, organisation, outcome: end.outcome });
       if (end.outcome === 'caller-gone') return;
-      targets.note(requestClass.name, isWithinTarget(end));
+      targets.record(requestClass.name, isWithinTarget(end));
       if (end.outcome === 'answered') {
         metrics.record('whole_answer_ms', clock.monotonic() - arrivedAt, labels);
       }
--- a/packages/plantaindrum/src/core/callers/request-reader.ts
+++ b/packages/plantaindrum/src/core/callers/request-reader.ts
@@ -6,10 +6,10 @@
 import type { IntentDocument, IntentReader, RouteIntent } from '@plantaindrum/intent';
 import type { EntryRequest } from '../requests/types.js';
 import { forwardedHeaders } from './headers.js';
-import type { Target } from './identify.js';
+import type { RequestTarget } from './identify.js';
 import {
   COMPLETIONS_PATH,
-  createKeyTable,
+  createOrganisationLookup,
   findClass,
   findRoute,
   parseCompletion,
@@ -28,13 +28,13 @@
   req: IncomingMessage,
 ) => Promise<Result<EntryRequest, Refusal> | undefined>;
 
-const MOST_KEY_CHARACTERS = 255;
+const MAX_KEY_CHARACTERS = 255;
 
 const badRequest = (detail: string): { ok: false; err: Refusal } =>
   fail({ reason: 'bad-request', data: { detail } });
 
 /** Completions need no route; everything else has to match one. */
-const routeOf = (
+const resolveRoute = (
   document: IntentDocument,
   method: string,
   path: string,
@@ -48,14 +48,17 @@
   return route ? ok(route) : fail({ reason: 'unknown-route', data: { method, path } });
 };
 
-const targetOf = (route: RouteIntent | undefined, body: Buffer): Result<Target, Refusal> =>
+const resolveTarget = (
+  route: RouteIntent | undefined,
+  body: Buffer,
+): Result<RequestTarget, Refusal> =>
   route ? ok({ kind: 'service', service: route.service }) : parseCompletion(body);
 
-const idempotencyKeyOf = ({ headers }: IncomingMessage): Result<string | undefined, Refusal> => {
+const parseIdempotencyKey = ({ headers }: IncomingMessage): Result<string | undefined, Refusal> => {
   const key = headers['idempotency-key'];
   if (key === undefined) return ok(undefined);
-  if (typeof key !== 'string' || key === '' || key.length > MOST_KEY_CHARACTERS) {
-    return badRequest(`"Idempotency-Key" has not 1 to ${MOST_KEY_CHARACTERS} characters`);
+  if (typeof key !== 'string' || key === '' || key.length > MAX_KEY_CHARACTERS) {
+    return badRequest(`"Idempotency-Key" has not 1 to ${MAX_KEY_CHARACTERS} characters`);
   }
   return ok(key);
 };
@@ -63,7 +66,7 @@
 /** Creates the reader of one door. */
 export const createRequestReader = (options: RequestReaderOptions): ReadRequest => {
   const { limits, intent, clock } = options;
-  const findOrganisation = createKeyTable();
+  const findOrganisation = createOrganisationLookup();
 
   return async (req) => {
     const arrivedAt = clock.monotonic();
@@ -71,15 +74,15 @@
     const view = intent.current();
     const organisation = findOrganisation(view, headers);
     if (organisation === undefined) return fail({ reason: 'unknown-key' });
-    const route = routeOf(view.document, method, path);
+    const route = resolveRoute(view.document, method, path);
     if (!route.ok) return route;
     const requestClass = findClass(view.document, headers, organisation, route.value);
     if (!requestClass.ok) return requestClass;
-    const key = idempotencyKeyOf(req);
+    const key = parseIdempotencyKey(req);
     if (!key.ok) return key;
     const body = await readBody(req, limits.bodyBytes);
     if (!body?.ok) return body;
-    const target = targetOf(route.value, body.value);
+    const target = resolveTarget(route.value, body.value);
     if (!target.ok) return target;
     return ok({
       organisation,
--- a/packages/plantaindrum/src/core/entry/intent-side.ts
+++ b/packages/plantaindrum/src/core/entry/entry-intent.ts
@@ -7,14 +7,14 @@
 import type { EntryDeps } from './deps.js';
 
 /** The intent and what belongs to it. */
-export interface IntentSide {
+export interface EntryIntent {
   intent: IntentNode;
   links: IntentLinks;
   close(): Promise<void>;
 }
 
 /** Starts to follow the intent. */
-export const startIntentSide = (settings: EntrySettings, deps: EntryDeps): IntentSide => {
+export const startEntryIntent = (settings: EntrySettings, deps: EntryDeps): EntryIntent => {
   const { clock, random, metrics } = deps;
   const { node, platform } = settings;
   const log = createLogClient({ url: platform.logUrl, client: node.name });
--- a/packages/plantaindrum/src/core/entry/upstream-side.ts
+++ b/packages/plantaindrum/src/core/entry/entry-upstreams.ts
@@ -8,41 +8,41 @@
 import { createVmListClient } from '@plantaindrum/service-clients';
 import type { EntryRouter } from '../routing/entry-router.js';
 import { createEntryRouter } from '../routing/entry-router.js';
-import type { Directory } from '../upstreams/directory.js';
-import { createDirectory } from '../upstreams/directory.js';
-import { SILENCE_TICK_MS } from '../upstreams/upstream.js';
+import type { UpstreamDirectory } from '../upstreams/directory.js';
+import { createUpstreamDirectory } from '../upstreams/directory.js';
+import { SILENCE_CHECK_INTERVAL_MS } from '../upstreams/upstream.js';
 import type { EntryLinksOptions } from './links.js';
 import { createConnectAgent } from './links.js';
 
 /** The upstreams, and routing among them. */
-export interface UpstreamSide {
+export interface EntryUpstreams {
   router: EntryRouter;
-  directory: Directory;
+  directory: UpstreamDirectory;
   /** The open link to a VM, if there is one. */
   linkTo(vm: Vm): Link | undefined;
   /** Resolves when the list has been read for the first time; it is followed until `close`. */
   start(): Promise<void>;
   /** Resolves when every live upstream is linked; a dead one does not hold it up for long. */
-  firstLinks(): Promise<void>;
+  waitForInitialLinks(): Promise<void>;
   close(): Promise<void>;
 }
 
-const LIST_INTERVAL_MS = 1_000;
-const REVIEW_MS = 1_000;
-const FIRST_LIST_RETRY_MS = 250;
-const FIRST_LINKS_MS = 2_000;
-const LINK_CHECK_MS = 25;
+const LIST_POLL_INTERVAL_MS = 1_000;
+const HEALTH_REVIEW_INTERVAL_MS = 1_000;
+const INITIAL_LIST_RETRY_DELAY_MS = 250;
+const INITIAL_LINKS_TIMEOUT_MS = 2_000;
+const LINK_POLL_MS = 25;
 
 /** Creates the upstreams of an entry; nothing is read or dialled before `start`. */
-export const createUpstreamSide = (
+export const createEntryUpstreams = (
   links: EntryLinksOptions,
   intent: Pick<IntentReader, 'current' | 'onChange'>,
   log: Logger,
-): UpstreamSide => {
+): EntryUpstreams => {
   const { settings, clock, random, metrics } = links;
   const { node, platform } = settings;
   const list = createVmListClient({ url: platform.vmListUrl, client: node.name });
-  let directory: Directory | undefined;
+  let directory: UpstreamDirectory | undefined;
   let stopped = false;
 
   const router = createEntryRouter({
@@ -54,23 +54,23 @@
     metrics,
     log: log.child('routing'),
   });
-  directory = createDirectory({
+  directory = createUpstreamDirectory({
     list,
     connect: createConnectAgent(links),
-    onList: router.takeList,
-    eventsOf: router.eventsOf,
+    applyVmList: router.applyVmList,
+    createEventHandlers: router.createEventHandlers,
     clock,
     random,
     metrics,
     log: log.child('upstreams'),
-    intervalMs: LIST_INTERVAL_MS,
+    intervalMs: LIST_POLL_INTERVAL_MS,
   });
-  const known = directory;
-  intent.onChange(router.intentChanged);
+  const createdDirectory = directory;
+  intent.onChange(router.handleIntentChange);
 
-  const repeat = async (everyMs: number, fn: () => void): Promise<void> => {
+  const runPeriodically = async (intervalMs: number, fn: () => void): Promise<void> => {
     while (!stopped) {
-      await sleep(clock, everyMs);
+      await sleep(clock, intervalMs);
       fn();
     }
   };
@@ -79,34 +79,36 @@
    * Reads the list until it answers. Without one an entry knows no upstream: reported ready, it
    * would draw callers from the entries that serve and refuse each of them.
    */
-  const firstList = async (): Promise<void> => {
-    while (!(await known.refresh())) await sleep(clock, FIRST_LIST_RETRY_MS);
+  const readInitialList = async (): Promise<void> => {
+    while (!(await createdDirectory.refresh())) await sleep(clock, INITIAL_LIST_RETRY_DELAY_MS);
   };
 
-  const isUnlinked = (): boolean =>
-    known.upstreams().some((upstream) => !upstream.link() && !upstream.leaving());
+  const hasMissingLink = (): boolean =>
+    createdDirectory.upstreams().some((upstream) => !upstream.link() && !upstream.leaving());
 
   return {
     router,
-    directory: known,
+    directory: createdDirectory,
     linkTo: (vm) =>
-      known
+      createdDirectory
         .upstreams()
         .find((upstream) => upstream.vm().name === vm.name)
         ?.link(),
     start: async () => {
-      await firstList();
-      void known.run();
-      void repeat(REVIEW_MS, router.review);
-      void repeat(SILENCE_TICK_MS, () => known.upstreams().forEach((upstream) => upstream.tick()));
+      await readInitialList();
+      void createdDirectory.run();
+      void runPeriodically(HEALTH_REVIEW_INTERVAL_MS, router.reviewHealth);
+      void runPeriodically(SILENCE_CHECK_INTERVAL_MS, () =>
+        createdDirectory.upstreams().forEach((upstream) => upstream.checkSilence()),
+      );
     },
-    firstLinks: async () => {
-      const until = clock.monotonic() + FIRST_LINKS_MS;
-      while (isUnlinked() && clock.monotonic() < until) await sleep(clock, LINK_CHECK_MS);
+    waitForInitialLinks: async () => {
+      const deadline = clock.monotonic() + INITIAL_LINKS_TIMEOUT_MS;
+      while (hasMissingLink() && clock.monotonic() < deadline) await sleep(clock, LINK_POLL_MS);
     },
     close: async () => {
       stopped = true;
-      await known.close();
+      await createdDirectory.close();
       await list.close();
     },
   };
--- a/packages/plantaindrum/src/core/entry/entry.ts
+++ b/packages/plantaindrum/src/core/entry/entry.ts
@@ -6,21 +6,21 @@
 import type { FrameHandler, NodeStatus } from '@plantaindrum/link';
 import { createLinkServer, NODE_STATUS } from '@plantaindrum/link';
 import { createRetryPolicy } from '@plantaindrum/requests';
-import { defaultAttemptTimes } from '../attempts/run-attempt.js';
-import type { CallersDoor } from '../callers/door.js';
-import { openCallersDoor } from '../callers/door.js';
-import { openOperatorsDoor } from '../operators/door.js';
+import { defaultAttemptTimeouts } from '../attempts/run-attempt.js';
+import type { CallerServer } from '../callers/caller-server.js';
+import { createCallerServer } from '../callers/caller-server.js';
+import { createOperatorServer } from '../operators/operator-server.js';
 import type { ServeOptions } from '../requests/serve-request.js';
 import type { EntryRouter } from '../routing/entry-router.js';
 import { createClassTargets } from '../status/class-targets.js';
-import { entryStatus } from '../status/entry-status.js';
-import { createAskNode } from './ask-node.js';
+import { createEntryStatus } from '../status/entry-status.js';
+import { createNodeStatusFetcher } from './node-status-fetcher.js';
 import type { EntryDeps } from './deps.js';
-import { startIntentSide } from './intent-side.js';
-import { linkOptions } from './links.js';
-import { createCollectReports } from './node-reports.js';
+import { startEntryIntent } from './entry-intent.js';
+import { createLinkOptions } from './links.js';
+import { createReportCollector } from './node-reports.js';
 import { createReadiness } from './readiness.js';
-import { createUpstreamSide } from './upstream-side.js';
+import { createEntryUpstreams } from './entry-upstreams.js';
 
 /** A running entry. */
 export interface Entry {
@@ -36,21 +36,25 @@
   close(): Promise<void>;
 }
 
-const NOTICE_MS = 1_000;
+const DRAIN_NOTICE_MS = 1_000;
 
-const ignoreFrames: FrameHandler = () => {};
+const discardFrame: FrameHandler = () => {};
 
-const serveOptions = (instance: string, router: EntryRouter, deps: EntryDeps): ServeOptions => {
+const createServeOptions = (
+  instance: string,
+  router: EntryRouter,
+  deps: EntryDeps,
+): ServeOptions => {
   const { clock, metrics } = deps;
-  let lastAttempt = 0;
+  let lastAttemptNumber = 0;
   return {
-    choose: router.choose,
+    selectUpstream: router.selectUpstream,
     retries: createRetryPolicy({ clock }),
     nextId: () => {
-      lastAttempt += 1;
-      return `${instance}:${lastAttempt}`;
+      lastAttemptNumber += 1;
+      return `${instance}:${lastAttemptNumber}`;
     },
-    times: defaultAttemptTimes,
+    timeouts: defaultAttemptTimeouts,
     clock,
     metrics,
   };
@@ -61,10 +65,10 @@
   const { clock, random, metrics, log } = deps;
   const { node, limits } = settings;
   const instance = randomUUID();
-  const { intent, links: intentLinks, close: closeIntent } = startIntentSide(settings, deps);
+  const { intent, links: intentLinks, close: closeIntent } = startEntryIntent(settings, deps);
 
-  let callers: CallersDoor | undefined;
-  const inFlight = (): number => callers?.inFlight() ?? 0;
+  let callerServer: CallerServer | undefined;
+  const inFlight = (): number => callerServer?.inFlight() ?? 0;
   const nodeStatus = (): NodeStatus => ({
     inFlight: inFlight(),
     intent: { offset: intent.current().offset },
@@ -79,14 +83,14 @@
     metrics,
     log: log.child('link'),
   };
-  const upstreams = createUpstreamSide(links, intent, log);
-  const { router, directory } = upstreams;
+  const entryUpstreams = createEntryUpstreams(links, intent, log);
+  const { router, directory } = entryUpstreams;
   const linkServer = await createLinkServer({
-    ...linkOptions(links),
+    ...createLinkOptions(links),
     listen: settings.link,
     onLink: (link) => {
       intentLinks.onLink(link);
-      return ignoreFrames;
+      return discardFrame;
     },
   });
 
@@ -95,36 +99,36 @@
     intent,
     clock,
     log,
-    noticeMs: NOTICE_MS,
+    noticeMs: DRAIN_NOTICE_MS,
   });
   const targets = createClassTargets(clock);
 
-  callers = await openCallersDoor({
+  callerServer = await createCallerServer({
     listen: settings.callers,
     limits,
     intent,
-    closedFor: readiness.closedFor,
-    serve: serveOptions(instance, router, deps),
+    newRequestRefusal: readiness.newRequestRefusal,
+    serve: createServeOptions(instance, router, deps),
     targets,
     clock,
     metrics,
   });
-  const door = callers;
+  const runningCallerServer = callerServer;
 
-  const askNode = createAskNode({
-    shared: linkOptions(links),
-    linkTo: upstreams.linkTo,
+  const fetchNodeStatus = createNodeStatusFetcher({
+    shared: createLinkOptions(links),
+    linkTo: entryUpstreams.linkTo,
     clock,
     random,
   });
 
-  const operators = await openOperatorsDoor({
+  const operatorServer = await createOperatorServer({
     listen: settings.operators,
     limits,
     intent,
     unready: readiness.unready,
     status: () =>
-      entryStatus({
+      createEntryStatus({
         node,
         instance,
         intent,
@@ -136,39 +140,39 @@
         leaving: () => readiness.phase() === 'draining',
         unready: readiness.unready,
       }),
-    reports: createCollectReports({
-      self: { ...node, status: nodeStatus },
+    reports: createReportCollector({
+      local: { ...node, status: nodeStatus },
       vms: directory.vms,
-      askNode,
+      fetchNodeStatus,
     }),
     metrics,
   });
 
   const start = async (): Promise<void> => {
-    await upstreams.start();
+    await entryUpstreams.start();
     await intent.ready();
-    await upstreams.firstLinks();
+    await entryUpstreams.waitForInitialLinks();
     readiness.started();
   };
 
   const close = async (): Promise<void> => {
-    await door.close();
-    await operators.close();
-    await upstreams.close();
+    await runningCallerServer.close();
+    await operatorServer.close();
+    await entryUpstreams.close();
     await linkServer.close();
     await closeIntent();
   };
 
   return {
-    callers: door.url,
-    operators: operators.url,
+    callers: runningCallerServer.url,
+    operators: operatorServer.url,
     link: `${linkServer.address.host}:${linkServer.address.port}`,
     ready: start(),
     isReady: () => readiness.unready() === undefined,
     drain: async () => {
       readiness.drain();
-      await sleep(clock, NOTICE_MS);
-      await door.drain();
+      await sleep(clock, DRAIN_NOTICE_MS);
+      await runningCallerServer.drain();
       await close();
     },
     close,
--- a/packages/plantaindrum/src/core/entry/links.ts
+++ b/packages/plantaindrum/src/core/entry/links.ts
@@ -20,7 +20,7 @@
 }
 
 /** Options of every link of this entry. */
-export const linkOptions = (options: EntryLinksOptions): Omit<LinkOptions, 'onLink'> => {
+export const createLinkOptions = (options: EntryLinksOptions): Omit<LinkOptions, 'onLink'> => {
   const { settings, instance, intent, handlers, clock, metrics, log } = options;
   const { name, dataCentre, region } = settings.node;
   const { frameBytes, connections } = settings.limits;
@@ -37,18 +37,18 @@
 };
 
 /** The link address of a VM of the list. */
-export const linkAddress = ({ address }: Vm): { host: string; port: number } => {
-  const at = address.lastIndexOf(':');
-  return { host: address.slice(0, at), port: Number(address.slice(at + 1)) };
+export const parseLinkAddress = ({ address }: Vm): { host: string; port: number } => {
+  const separator = address.lastIndexOf(':');
+  return { host: address.slice(0, separator), port: Number(address.slice(separator + 1)) };
 };
 
 /** Dials agents at the link addresses of the platform's list. */
 export const createConnectAgent = (options: EntryLinksOptions): ConnectAgent => {
-  const shared = linkOptions(options);
+  const shared = createLinkOptions(options);
   return (vm, onLink: (link: Link) => FrameHandler) =>
     createLinkClient({
       ...shared,
-      connect: linkAddress(vm),
+      connect: parseLinkAddress(vm),
       backoff: defaultBackoff,
       random: options.random,
       onLink: (link) => {
--- a/packages/plantaindrum/src/core/entry/node-reports.ts
+++ b/packages/plantaindrum/src/core/entry/node-reports.ts
@@ -15,44 +15,44 @@
 }
 
 /** Asks nodes for their reports. */
-export interface NodeReportsOptions {
-  self: { name: string; dataCentre: string; status: () => NodeStatus };
+export interface ReportCollectorOptions {
+  local: { name: string; dataCentre: string; status: () => NodeStatus };
   vms: () => readonly Vm[];
   /** Asks one node; undefined when it does not answer in time. */
-  askNode: (vm: Vm) => Promise<NodeStatus | undefined>;
+  fetchNodeStatus: (vm: Vm) => Promise<NodeStatus | undefined>;
 }
 
 /** Asks the nodes of one data centre, or all that this entry knows. */
 export type CollectReports = (dataCentre: string | undefined) => Promise<NodeReport[]>;
 
-const figuresOf = (status: NodeStatus | undefined): Partial<NodeReport> => {
+const toReportFields = (status: NodeStatus | undefined): Partial<NodeReport> => {
   if (!status) return {};
   const { inFlight, intent, group } = status;
   return { inFlight, intentOffset: intent.offset, ...(group !== undefined && { group }) };
 };
 
 /** Creates the question to many nodes; those that don't answer are listed without figures. */
-export const createCollectReports = ({
-  self,
+export const createReportCollector = ({
+  local,
   vms,
-  askNode,
-}: NodeReportsOptions): CollectReports => {
-  const reportOf = async (vm: Vm): Promise<NodeReport> => {
+  fetchNodeStatus,
+}: ReportCollectorOptions): CollectReports => {
+  const fetchReport = async (vm: Vm): Promise<NodeReport> => {
     const { name: node, dataCentre } = vm;
     const role = vm.role === 'entry' ? 'entry' : 'agent';
-    return { node, role, dataCentre, ...figuresOf(await askNode(vm)) };
+    return { node, role, dataCentre, ...toReportFields(await fetchNodeStatus(vm)) };
   };
 
-  const ownReport = (): NodeReport => {
-    const { name: node, dataCentre, status } = self;
-    return { node, role: 'entry', dataCentre, ...figuresOf(status()) };
+  const localReport = (): NodeReport => {
+    const { name: node, dataCentre, status } = local;
+    return { node, role: 'entry', dataCentre, ...toReportFields(status()) };
   };
 
   return async (dataCentre) => {
-    const isAsked = (vm: { dataCentre: string }): boolean =>
+    const isIncluded = (vm: { dataCentre: string }): boolean =>
       dataCentre === undefined || vm.dataCentre === dataCentre;
-    const others = vms().filter((vm) => isAsked(vm) && vm.name !== self.name);
-    const reports = await Promise.all(others.map(reportOf));
-    return isAsked(self) ? [ownReport(), ...reports] : reports;
+    const others = vms().filter((vm) => isIncluded(vm) && vm.name !== local.name);
+    const reports = await Promise.all(others.map(fetchReport));
+    return isIncluded(local) ? [localReport(), ...reports] : reports;
   };
 };
--- a/packages/plantaindrum/src/core/entry/ask-node.ts
+++ b/packages/plantaindrum/src/core/entry/node-status-fetcher.ts
@@ -4,10 +4,10 @@
 import type { CallOutcome, Link, LinkOptions, NodeStatus } from '@plantaindrum/link';
 import { createLinkClient, defaultBackoff, NODE_STATUS } from '@plantaindrum/link';
 import type { Vm } from '@plantaindrum/service-clients';
-import { linkAddress } from './links.js';
+import { parseLinkAddress } from './links.js';
 
 /** What asking needs. */
-export interface AskNodeOptions {
+export interface NodeStatusFetcherOptions {
   shared: Omit<LinkOptions, 'onLink'>;
   /** The open link to a node, if there is one. */
   linkTo: (vm: Vm) => Link | undefined;
@@ -15,48 +15,48 @@
   random: Random;
 }
 
-const ASK_MS = 2_000;
+const FETCH_TIMEOUT_MS = 2_000;
 
-const isStatus = (value: unknown): value is NodeStatus => {
+const isNodeStatus = (value: unknown): value is NodeStatus => {
   const { inFlight, intent } = (value ?? {}) as Partial<NodeStatus>;
   return Number.isSafeInteger(inFlight) && Number.isSafeInteger(intent?.offset);
 };
 
-const statusOf = (called: CallOutcome): NodeStatus | undefined =>
-  called.outcome === 'answered' && isStatus(called.value) ? called.value : undefined;
+const parseNodeStatus = (outcome: CallOutcome): NodeStatus | undefined =>
+  outcome.outcome === 'answered' && isNodeStatus(outcome.value) ? outcome.value : undefined;
 
-const ask = async (link: Link): Promise<NodeStatus | undefined> =>
-  statusOf(await link.call(NODE_STATUS, {}, ASK_MS));
+const fetchOverLink = async (link: Link): Promise<NodeStatus | undefined> =>
+  parseNodeStatus(await link.call(NODE_STATUS, {}, FETCH_TIMEOUT_MS));
 
 /** Creates the question to one node; undefined when it does not answer in time. */
-export const createAskNode = (options: AskNodeOptions) => {
+export const createNodeStatusFetcher = (options: NodeStatusFetcherOptions) => {
   const { shared, linkTo, clock, random } = options;
 
-  const askOverNewLink = async (vm: Vm): Promise<NodeStatus | undefined> => {
-    let settle = (_link: Link | undefined): void => {};
+  const fetchOverNewLink = async (vm: Vm): Promise<NodeStatus | undefined> => {
+    let resolveOpened = (_link: Link | undefined): void => {};
     const opened = new Promise<Link | undefined>((resolve) => {
-      settle = resolve;
+      resolveOpened = resolve;
     });
-    const cancel = clock.after(ASK_MS, () => settle(undefined));
+    const cancel = clock.after(FETCH_TIMEOUT_MS, () => resolveOpened(undefined));
     const client = createLinkClient({
       ...shared,
-      connect: linkAddress(vm),
+      connect: parseLinkAddress(vm),
       backoff: defaultBackoff,
       random,
       onLink: (link) => {
-        settle(link);
+        resolveOpened(link);
         return () => {};
       },
     });
     const link = await opened;
     cancel();
-    const status = link && (await ask(link));
+    const status = link && (await fetchOverLink(link));
     await client.close();
     return status;
   };
 
   return (vm: Vm): Promise<NodeStatus | undefined> => {
     const link = linkTo(vm);
-    return link ? ask(link) : askOverNewLink(vm);
+    return link ? fetchOverLink(link) : fetchOverNewLink(vm);
   };
 };
--- a/packages/plantaindrum/src/core/entry/readiness.ts
+++ b/packages/plantaindrum/src/core/entry/readiness.ts
@@ -16,7 +16,7 @@
   /** Why `GET /ready` fails, if it does. */
   unready(): Refusal | undefined;
   /** Why new requests are refused, if they are. */
-  closedFor(): Refusal | undefined;
+  newRequestRefusal(): Refusal | undefined;
 }
 
 /** What readiness depends on. */
@@ -38,23 +38,23 @@
 export const createReadiness = (options: ReadinessOptions): Readiness => {
   const { dataCentre, intent, clock, log, noticeMs } = options;
   let phase: Phase = 'starting';
-  let refuseFrom = Infinity;
+  let refuseFromMs = Infinity;
   let stopped = false;
 
-  const notice = (): void => {
-    refuseFrom = clock.monotonic() + noticeMs;
+  const startNotice = (): void => {
+    refuseFromMs = clock.monotonic() + noticeMs;
   };
 
-  const followDataCentre = (): void => {
-    const now = isStopped(intent.current().document, dataCentre);
-    if (now === stopped) return;
-    stopped = now;
-    if (stopped) notice();
-    else if (phase !== 'draining') refuseFrom = Infinity;
+  const applyDataCentreState = (): void => {
+    const isStoppedNow = isStopped(intent.current().document, dataCentre);
+    if (isStoppedNow === stopped) return;
+    stopped = isStoppedNow;
+    if (stopped) startNotice();
+    else if (phase !== 'draining') refuseFromMs = Infinity;
     log.info(`data centre ${dataCentre} ${stopped ? 'is stopping' : 'serves again'}`);
   };
 
-  const closedNow = (): Refusal | undefined => {
+  const currentRefusal = (): Refusal | undefined => {
     if (phase === 'draining') return notReady('this VM is leaving');
     if (stopped) return { reason: 'data-centre-stopping', data: { dataCentre } };
     if (!intent.freshness().caughtUp) return notReady("the operators' intent is not read yet");
@@ -68,13 +68,13 @@
    * in reach it can hardly serve a call by old intent, and a refusal would help nobody.
    */
   const unready = (): Refusal | undefined => {
-    const closed = closedNow();
-    if (closed || intent.freshness().state !== 'isolated') return closed;
+    const refusal = currentRefusal();
+    if (refusal || intent.freshness().state !== 'isolated') return refusal;
     return notReady("the operators' intent can't be confirmed: no log and no peer in reach");
   };
 
-  followDataCentre();
-  intent.onChange(followDataCentre);
+  applyDataCentreState();
+  intent.onChange(applyDataCentreState);
 
   return {
     phase: () => phase,
@@ -83,13 +83,13 @@
     },
     drain: () => {
       phase = 'draining';
-      notice();
+      startNotice();
     },
     unready,
-    closedFor: () => {
-      const leaving = phase === 'draining' || stopped;
-      if (leaving && clock.monotonic() < refuseFrom) return undefined;
-      return closedNow();
+    newRequestRefusal: () => {
+      const isStopping = phase === 'draining' || stopped;
+      if (isStopping && clock.monotonic() < refuseFromMs) return undefined;
+      return currentRefusal();
     },
   };
 };
--- a/packages/plantaindrum/src/core/operators/door.ts
+++ b/packages/plantaindrum/src/core/operators/operator-server.ts
@@ -12,7 +12,7 @@
 import { parseSubmission } from './submission.js';
 
 /** What the operators' door needs. */
-export interface OperatorsDoorOptions {
+export interface OperatorServerOptions {
   listen: EntrySettings['operators'];
   limits: EntrySettings['limits'];
   intent: IntentReader;
@@ -25,12 +25,12 @@
 }
 
 /** An open door. */
-export interface OperatorsDoor {
+export interface OperatorServer {
   url: string;
   close(): Promise<void>;
 }
 
-const STATUS_OF: Record<SubmitOutcome['outcome'], number> = {
+const HTTP_STATUS: Record<SubmitOutcome['outcome'], number> = {
   accepted: 200,
   conflict: 409,
   invalid: 422,
@@ -45,9 +45,11 @@
 };
 
 /** Opens the operators' door; rejects when the address can't be listened on. */
-export const openOperatorsDoor = async (options: OperatorsDoorOptions): Promise<OperatorsDoor> => {
+export const createOperatorServer = async (
+  options: OperatorServerOptions,
+): Promise<OperatorServer> => {
   const { listen, limits, intent, unready, status, reports, metrics } = options;
-  const expected = digest(`Bearer ${listen.token}`);
+  const expectedDigest = digest(`Bearer ${listen.token}`);
 
   const refuse = (res: ServerResponse, refusal: Refusal): void => {
     metrics.count('operators_refused', { reason: refusal.reason });
@@ -75,29 +77,29 @@
     }
     const submission = parseSubmission(body.value);
     if (!submission.ok) {
-      sendJson(res, STATUS_OF.invalid, { outcome: 'invalid', faults: submission.err });
+      sendJson(res, HTTP_STATUS.invalid, { outcome: 'invalid', faults: submission.err });
       return;
     }
     const outcome = await intent.submit(submission.value);
     metrics.count('intent_submissions', { outcome: outcome.outcome });
-    sendJson(res, STATUS_OF[outcome.outcome], outcome);
+    sendJson(res, HTTP_STATUS[outcome.outcome], outcome);
   };
 
   const serve = async (req: IncomingMessage, res: ServerResponse): Promise<void> => {
     const { method = 'GET', url = '/' } = req;
     const { pathname, searchParams } = new URL(url, 'http://node');
-    const call = `${method} ${pathname}`;
-    if (call === 'GET /ready') return serveReady(res);
-    if (!timingSafeEqual(expected, digest(req.headers.authorization ?? ''))) {
+    const endpoint = `${method} ${pathname}`;
+    if (endpoint === 'GET /ready') return serveReady(res);
+    if (!timingSafeEqual(expectedDigest, digest(req.headers.authorization ?? ''))) {
       return refuse(res, { reason: 'operator-unauthorised' });
     }
-    if (call === 'GET /metrics') return serveMetrics(res);
-    if (call === 'GET /status') return sendJson(res, 200, status());
-    if (call === 'GET /nodes') {
+    if (endpoint === 'GET /metrics') return serveMetrics(res);
+    if (endpoint === 'GET /status') return sendJson(res, 200, status());
+    if (endpoint === 'GET /nodes') {
       return sendJson(res, 200, await reports(searchParams.get('data-centre') ?? undefined));
     }
-    if (call === 'GET /intent') return sendJson(res, 200, intent.current());
-    if (call === 'POST /intent') return submit(req, res);
+    if (endpoint === 'GET /intent') return sendJson(res, 200, intent.current());
+    if (endpoint === 'POST /intent') return submit(req, res);
     return refuse(res, { reason: 'operator-unknown-path', data: { method, path: pathname } });
   };
 
--- a/packages/plantaindrum/src/core/operators/submission.ts
+++ b/packages/plantaindrum/src/core/operators/submission.ts
@@ -5,7 +5,7 @@
 
 const SECTIONS = ['classes', 'organisations', 'routes', 'balance', 'dataCentres'];
 
-const isKey = (text: string): text is IntentKey => {
+const isIntentKey = (text: string): text is IntentKey => {
   const [section = '', ...name] = text.split('/');
   return SECTIONS.includes(section) && name.join('/') !== '';
 };
@@ -16,7 +16,7 @@
   changes: z
     .array(
       z.strictObject({
-        key: z.string().refine(isKey, 'a section and a name, for example classes/live-sale'),
+        key: z.string().refine(isIntentKey, 'a section and a name, for example classes/live-sale'),
         base: z.number().int().min(-1),
         value: z.unknown(),
       }),
@@ -35,16 +35,16 @@
 
 /** Parses the body of `POST /intent`; the faults are texts for the operator. */
 export const parseSubmission = (body: Buffer): Result<IntentSubmission, string[]> => {
-  const checked = submissionSchema.safeParse(parseJson(body));
-  if (!checked.success) {
+  const parsed = submissionSchema.safeParse(parseJson(body));
+  if (!parsed.success) {
     return fail(
-      checked.error.issues.map(({ path, message }) => `${path.join('.') || 'body'}: ${message}`),
+      parsed.error.issues.map(({ path, message }) => `${path.join('.') || 'body'}: ${message}`),
     );
   }
-  const changes = checked.data.changes.map(({ key, base, value }) => ({
+  const changes = parsed.data.changes.map(({ key, base, value }) => ({
     key,
     base,
     value: value ?? null,
   }));
-  return ok({ ...checked.data, changes });
+  return ok({ ...parsed.data, changes });
 };
--- a/packages/plantaindrum/src/core/requests/work.ts
+++ b/packages/plantaindrum/src/core/requests/dispatch-payload.ts
@@ -1,26 +1,29 @@
 import { createHash } from 'node:crypto';
 import type { ErrorData } from '@plantaindrum/common';
-import type { Work } from '../attempts/types.js';
+import type { DispatchPayload } from '../attempts/types.js';
 import type { EntryRequest } from './types.js';
 
 /** Facts of a request that refusals name. */
-export const factsOf = ({ class: { name }, target }: EntryRequest): ErrorData => ({
+export const refusalData = ({ class: { name }, target }: EntryRequest): ErrorData => ({
   class: name,
   upstream: target.kind === 'model' ? target.model : target.service,
 });
 
-const idempotencyOf = ({ idempotencyKey, body }: EntryRequest): Pick<Work, 'idempotency'> => {
+const idempotencyFields = ({
+  idempotencyKey,
+  body,
+}: EntryRequest): Pick<DispatchPayload, 'idempotency'> => {
   if (idempotencyKey === undefined) return {};
   const bodyHash = createHash('sha256').update(body).digest('hex');
   return { idempotency: { key: idempotencyKey, bodyHash } };
 };
 
 /** What an agent is sent; `budgetMs` is the time left until the class's target. */
-export const workOf = (
+export const createDispatchPayload = (
   request: EntryRequest,
   budgetMs: number,
   resumeAfter: string | undefined,
-): Work => ({
+): DispatchPayload => ({
   organisation: request.organisation,
   class: request.class.name,
   priority: request.class.priority,
@@ -30,6 +33,6 @@
   path: request.path,
   headers: request.headers,
   body: request.body,
-  ...idempotencyOf(request),
+  ...idempotencyFields(request),
   ...(resumeAfter !== undefined && { resumeAfter }),
 });
--- a/packages/plantaindrum/src/core/requests/types.ts
+++ b/packages/plantaindrum/src/core/requests/types.ts
@@ -1,11 +1,11 @@
 import type { Refusal } from '@plantaindrum/common';
-import type { RequestClass, Target } from '../callers/identify.js';
+import type { RequestClass, RequestTarget } from '../callers/identify.js';
 
 /** A request that has an organisation, a class and a target. */
 export interface EntryRequest {
   organisation: string;
   class: RequestClass;
-  target: Target;
+  target: RequestTarget;
   method: string;
   path: string;
   headers: Record<string, string>;
--- a/packages/plantaindrum/src/core/routing/entry-router.ts
+++ b/packages/plantaindrum/src/core/routing/entry-router.ts
@@ -7,24 +7,24 @@
 import type { Route, RouteTicket, UpstreamStatus } from '@plantaindrum/requests';
 import { createRouter, prefixHash } from '@plantaindrum/requests';
 import type { EntryRequest } from '../requests/types.js';
-import type { Upstream, UpstreamEvents } from '../upstreams/upstream.js';
+import type { Upstream, UpstreamEventHandlers } from '../upstreams/upstream.js';
 
 /** A chosen upstream with the ticket that reports on the request there. */
-export interface Chosen {
+export interface SelectedUpstream {
   upstream: Upstream;
   ticket: RouteTicket;
 }
 
 /** Routing of one entry. */
 export interface EntryRouter {
-  choose(request: EntryRequest, tried: ReadonlySet<string>): Chosen | undefined;
+  selectUpstream(request: EntryRequest, tried: ReadonlySet<string>): SelectedUpstream | undefined;
   /** Takes a list of VMs; the result says which upstreams this entry keeps links to. */
-  takeList(vms: readonly Vm[]): (vm: Vm) => boolean;
+  applyVmList(vms: readonly Vm[]): (vm: Vm) => boolean;
   /** To be called when the intent has changed: data centres stop and start. */
-  intentChanged(): void;
-  eventsOf(vm: Vm): UpstreamEvents;
+  handleIntentChange(): void;
+  createEventHandlers(vm: Vm): UpstreamEventHandlers;
   /** Ejects slow upstreams and lets them back; to be called about once a second. */
-  review(): void;
+  reviewHealth(): void;
   status(): UpstreamStatus[];
 }
 
@@ -40,10 +40,10 @@
 }
 
 /** Models and services have names of their own; one of each may be called the same. */
-const targetOf = ({ kind, model, service }: Vm): string =>
+const vmTarget = ({ kind, model, service }: Vm): string =>
   kind === 'model' ? `model/${model ?? ''}` : `service/${service ?? ''}`;
 
-const targetOfRequest = ({ target }: EntryRequest): string =>
+const requestTarget = ({ target }: EntryRequest): string =>
   target.kind === 'model' ? `model/${target.model}` : `service/${target.service}`;
 
 /** Creates the routing of one entry. */
@@ -52,13 +52,13 @@
   const { name: id, dataCentre, region } = self;
   const router = createRouter({ clock, random, self: { id, dataCentre, region } });
   const unlinked = new Set<string>();
-  const owners = new Map<string, symbol>();
+  const currentOwners = new Map<string, symbol>();
   let vms: readonly Vm[] = [];
   const ramp = createReturnRamp({ clock, random });
 
   const upstreamVms = (): Vm[] => vms.filter(({ role }) => role === 'upstream');
 
-  const update = (): void => {
+  const updateRouter = (): void => {
     router.setEntries(
       vms.filter(({ role }) => role === 'entry').map((vm) => ({ ...vm, id: vm.name })),
     );
@@ -67,48 +67,48 @@
         id: vm.name,
         dataCentre: vm.dataCentre,
         region: vm.region,
-        target: targetOf(vm),
+        target: vmTarget(vm),
         leaving: vm.state === 'leaving' || !mayDispatch(document(), dataCentre, vm.dataCentre),
       })),
     );
   };
 
   /** A data centre that has just been started again gets only a part of the work at first. */
-  const notAdmitted = (): string[] => {
+  const heldBackUpstreams = (): string[] => {
     const names = new Set(Object.keys(document().dataCentres).filter((name) => !ramp.admits(name)));
     return names.size === 0
       ? []
       : upstreamVms().flatMap((vm) => (names.has(vm.dataCentre) ? vm.name : []));
   };
 
-  const drop = (name: string): void => {
-    owners.delete(name);
+  const forgetUpstream = (name: string): void => {
+    currentOwners.delete(name);
     unlinked.delete(name);
   };
 
   const findUpstream = (name: string): Upstream | undefined =>
     options.upstreams().find((upstream) => upstream.vm().name === name);
 
-  const prefixOf = ({ target }: EntryRequest): string | undefined =>
+  const promptPrefix = ({ target }: EntryRequest): string | undefined =>
     target.kind === 'model' ? prefixHash(target.prompt) : undefined;
 
-  const routeOf = (request: EntryRequest, tried: ReadonlySet<string>): Route => {
-    const prefix = prefixOf(request);
+  const selectRoute = (request: EntryRequest, tried: ReadonlySet<string>): Route => {
+    const prefix = promptPrefix(request);
     const excluding = (names: Iterable<string>): Route =>
       router.choose({
-        target: targetOfRequest(request),
+        target: requestTarget(request),
         exclude: new Set([...tried, ...unlinked, ...names]),
         ...(prefix !== undefined && { prefix }),
       });
-    const held = notAdmitted();
-    const route = excluding(held);
+    const heldBack = heldBackUpstreams();
+    const route = excluding(heldBack);
     // Work that nobody else can take goes to the returning data centre whatever its share.
-    return route.upstream === undefined && held.length > 0 ? excluding([]) : route;
+    return route.upstream === undefined && heldBack.length > 0 ? excluding([]) : route;
   };
 
   return {
-    choose: (request, tried) => {
-      const route = routeOf(request, tried);
+    selectUpstream: (request, tried) => {
+      const route = selectRoute(request, tried);
       if (route.upstream === undefined) {
         metrics.count('route_refused', { reason: route.reason });
         return undefined;
@@ -118,39 +118,39 @@
       metrics.count('routes', { method: route.method });
       return { upstream, ticket: router.dispatched(route.upstream) };
     },
-    takeList: (next) => {
+    applyVmList: (next) => {
       vms = next;
-      update();
-      const targets = new Set(upstreamVms().map(targetOf));
+      updateRouter();
+      const targets = new Set(upstreamVms().map(vmTarget));
       const kept = new Set([...targets].flatMap(router.subset));
-      [...owners.keys()].filter((name) => !kept.has(name)).forEach(drop);
+      [...currentOwners.keys()].filter((name) => !kept.has(name)).forEach(forgetUpstream);
       return (vm) => kept.has(vm.name);
     },
-    intentChanged: () => {
+    handleIntentChange: () => {
       ramp.follow(document());
-      update();
+      updateRouter();
     },
-    eventsOf: ({ name }) => {
+    createEventHandlers: ({ name }) => {
       // A VM that comes back under its name at another address has a new link; what the old link
       // still tells, above all its end, must not count against the new one.
       const owner = Symbol(name);
-      owners.set(name, owner);
+      currentOwners.set(name, owner);
       unlinked.add(name);
-      const ifOwner = (fn: () => void): void => {
-        if (owners.get(name) === owner) fn();
+      const ifCurrentOwner = (fn: () => void): void => {
+        if (currentOwners.get(name) === owner) fn();
       };
       return {
-        load: (load) => ifOwner(() => router.load(name, load)),
-        leaving: () => ifOwner(() => router.leaving(name)),
+        load: (load) => ifCurrentOwner(() => router.load(name, load)),
+        leaving: () => ifCurrentOwner(() => router.leaving(name)),
         linked: (linked) =>
-          ifOwner(() => {
+          ifCurrentOwner(() => {
             router.silent(name, !linked);
             if (linked) unlinked.delete(name);
             else unlinked.add(name);
           }),
       };
     },
-    review: () =>
+    reviewHealth: () =>
       router.review().forEach(({ upstream, from, to, reason }) => {
         metrics.count('upstream_health', { to, reason });
         log.info(`upstream ${upstream} goes from ${from} to ${to}: ${reason}`);
--- a/packages/plantaindrum/src/core/status/class-targets.ts
+++ b/packages/plantaindrum/src/core/status/class-targets.ts
@@ -20,53 +20,53 @@
 /** Keeps count of targets. */
 export interface ClassTargets {
   /** A request has ended; `withinTarget` is false for refusals and late answers. */
-  note(name: string, withinTarget: boolean): void;
+  record(name: string, withinTarget: boolean): void;
   status(document: IntentDocument): ClassStatus[];
 }
 
-const SLOT_MS = 5_000;
-const SLOTS = 12;
+const BUCKET_MS = 5_000;
+const BUCKETS = 12;
 
-interface Slot {
+interface Bucket {
   index: number;
   requests: number;
-  within: number;
+  withinTarget: number;
 }
 
 /** Creates counts of nothing. */
 export const createClassTargets = (clock: Clock): ClassTargets => {
-  const slots = new Map<string, Slot[]>();
+  const bucketsByClass = new Map<string, Bucket[]>();
 
-  const currentIndex = (): number => Math.floor(clock.monotonic() / SLOT_MS);
+  const currentIndex = (): number => Math.floor(clock.monotonic() / BUCKET_MS);
 
-  const recent = (name: string): Slot[] => {
-    const oldest = currentIndex() - SLOTS + 1;
-    const kept = (slots.get(name) ?? []).filter(({ index }) => index >= oldest);
-    slots.set(name, kept);
+  const recentBuckets = (name: string): Bucket[] => {
+    const oldest = currentIndex() - BUCKETS + 1;
+    const kept = (bucketsByClass.get(name) ?? []).filter(({ index }) => index >= oldest);
+    bucketsByClass.set(name, kept);
     return kept;
   };
 
-  const slotOf = (name: string): Slot => {
-    const kept = recent(name);
+  const currentBucket = (name: string): Bucket => {
+    const kept = recentBuckets(name);
     const index = currentIndex();
     const last = kept.at(-1);
     if (last?.index === index) return last;
-    const made = { index, requests: 0, within: 0 };
-    kept.push(made);
-    return made;
+    const created = { index, requests: 0, withinTarget: 0 };
+    kept.push(created);
+    return created;
   };
 
   return {
-    note: (name, withinTarget) => {
-      const slot = slotOf(name);
+    record: (name, withinTarget) => {
+      const slot = currentBucket(name);
       slot.requests += 1;
-      if (withinTarget) slot.within += 1;
+      if (withinTarget) slot.withinTarget += 1;
     },
     status: (document) =>
       Object.entries(document.classes).map(([name, { latestAnswerMs, share }]) => {
-        const kept = recent(name);
+        const kept = recentBuckets(name);
         const requests = kept.reduce((sum, slot) => sum + slot.requests, 0);
-        const within = kept.reduce((sum, slot) => sum + slot.within, 0);
+        const within = kept.reduce((sum, slot) => sum + slot.withinTarget, 0);
         const served = requests > 0 ? within / requests : undefined;
         const met = served === undefined ? undefined : served >= share;
         return { name, latestAnswerMs, share, requests, served, met };
--- a/packages/plantaindrum/src/core/status/entry-status.ts
+++ b/packages/plantaindrum/src/core/status/entry-status.ts
@@ -3,13 +3,13 @@
 import type { EntrySettings, Metrics, Refusal } from '@plantaindrum/common';
 import type { IntentFreshness, IntentReader, NodeDuty } from '@plantaindrum/intent';
 import { nodeDuty } from '@plantaindrum/intent';
-import type { Directory } from '../upstreams/directory.js';
+import type { UpstreamDirectory } from '../upstreams/directory.js';
 import type { EntryRouter } from '../routing/entry-router.js';
 import type { Upstream } from '../upstreams/upstream.js';
 import type { ClassStatus, ClassTargets } from './class-targets.js';
 
 /** One upstream in `status`. */
-export interface UpstreamLine {
+export interface UpstreamSummary {
   name: string;
   dataCentre: string;
   serves: string;
@@ -26,14 +26,14 @@
 }
 
 /** One expert group in `status`. */
-export interface GroupLine {
+export interface GroupSummary {
   name: string;
   upstreams: number;
   linked: number;
 }
 
 /** One organisation's traffic since the start of the process. */
-export interface OrganisationLine {
+export interface OrganisationSummary {
   name: string;
   answered: number;
   refused: number;
@@ -52,9 +52,9 @@
   intent: { offset: number; freshness: IntentFreshness };
   dataCentres: { name: string; state: string }[];
   classes: ClassStatus[];
-  organisations: OrganisationLine[];
-  upstreams: UpstreamLine[];
-  groups: GroupLine[];
+  organisations: OrganisationSummary[];
+  upstreams: UpstreamSummary[];
+  groups: GroupSummary[];
 }
 
 /** What a status is made from. */
@@ -62,7 +62,7 @@
   node: EntrySettings['node'];
   instance: string;
   intent: IntentReader;
-  directory: Directory;
+  directory: UpstreamDirectory;
   router: Pick<EntryRouter, 'status'>;
   targets: ClassTargets;
   metrics: Metrics;
@@ -73,7 +73,7 @@
   unready: () => Refusal | undefined;
 }
 
-const upstreamLine = (upstream: Upstream, health: string): UpstreamLine => {
+const summariseUpstream = (upstream: Upstream, health: string): UpstreamSummary => {
   const { name, dataCentre, model, service, group } = upstream.vm();
   const load = upstream.load();
   return {
@@ -93,7 +93,7 @@
   };
 };
 
-const groupLines = (upstreams: UpstreamLine[]): GroupLine[] => {
+const summariseGroups = (upstreams: UpstreamSummary[]): GroupSummary[] => {
   const names = new Set(upstreams.flatMap(({ group }) => group ?? []));
   return [...names].sort().map((name) => {
     const members = upstreams.filter(({ group }) => group === name);
@@ -105,7 +105,7 @@
   });
 };
 
-const organisationLines = (metrics: Metrics, names: string[]): OrganisationLine[] => {
+const summariseOrganisations = (metrics: Metrics, names: string[]): OrganisationSummary[] => {
   const ended = metrics.snapshot().counters.filter(({ name }) => name === 'requests_ended');
   const sum = (organisation: string, outcome: string): number =>
     ended
@@ -121,14 +121,14 @@
 };
 
 /** Makes the document of `GET /status`. */
-export const entryStatus = (options: EntryStatusOptions): EntryStatus => {
+export const createEntryStatus = (options: EntryStatusOptions): EntryStatus => {
   const { node, instance, intent, directory, router, targets, metrics, inFlight, unready } =
     options;
   const { document, offset } = intent.current();
   const health = new Map(router.status().map((line) => [line.id, line.health]));
   const upstreams = directory
     .upstreams()
-    .map((upstream) => upstreamLine(upstream, health.get(upstream.vm().name) ?? 'serving'));
+    .map((upstream) => summariseUpstream(upstream, health.get(upstream.vm().name) ?? 'serving'));
   const refusal = unready();
   return {
     node: { ...node, role: 'entry', instance },
@@ -145,8 +145,8 @@
     intent: { offset, freshness: intent.freshness() },
     dataCentres: Object.entries(document.dataCentres).map(([name, { state }]) => ({ name, state })),
     classes: targets.status(document),
-    organisations: organisationLines(metrics, Object.keys(document.organisations)),
+    organisations: summariseOrganisations(metrics, Object.keys(document.organisations)),
     upstreams,
-    groups: groupLines(upstreams),
+    groups: summariseGroups(upstreams),
   };
 };
--- a/packages/plantaindrum/src/core/upstreams/directory.ts
+++ b/packages/plantaindrum/src/core/upstreams/directory.ts
@@ -5,7 +5,7 @@
 import { createMembership, dialDelayMs } from '@plantaindrum/intent';
 import type { FrameHandler, Link, LinkClient } from '@plantaindrum/link';
 import type { Vm, VmListClient } from '@plantaindrum/service-clients';
-import type { Upstream, UpstreamEvents } from './upstream.js';
+import type { Upstream, UpstreamEventHandlers } from './upstream.js';
 import { createUpstream } from './upstream.js';
 
 /** Keeps a link to an agent; the result ends it. */
@@ -15,7 +15,7 @@
 ) => Pick<LinkClient, 'close'>;
 
 /** The upstreams known to this entry. */
-export interface Directory {
+export interface UpstreamDirectory {
   /** Every upstream of the list that this entry keeps a link to, whether it is up or not. */
   upstreams(): Upstream[];
   /** Every VM of the last list, entries included. */
@@ -28,7 +28,7 @@
 }
 
 /** What a directory needs. */
-export interface DirectoryOptions {
+export interface UpstreamDirectoryOptions {
   list: Pick<VmListClient, 'list'>;
   connect: ConnectAgent;
   clock: Clock;
@@ -36,39 +36,39 @@
   metrics: Metrics;
   log: Logger;
   /** Told of each list; the result says which upstreams of it this entry keeps links to. */
-  onList: (vms: readonly Vm[]) => (vm: Vm) => boolean;
+  applyVmList: (vms: readonly Vm[]) => (vm: Vm) => boolean;
   /** Takes what the link of one upstream tells. */
-  eventsOf: (vm: Vm) => UpstreamEvents;
+  createEventHandlers: (vm: Vm) => UpstreamEventHandlers;
   /** Time between two reads of the list, in milliseconds. */
   intervalMs: number;
 }
 
-interface Entry {
+interface ListedUpstream {
   upstream: Upstream;
   client: Pick<LinkClient, 'close'>;
 }
 
 /** Hellos that an agent takes in beside its work without making requests wait. */
-const ACCEPTS_PER_SECOND = 200;
+const AGENT_ACCEPTS_PER_SECOND = 200;
 
-const keyOf = (vm: Vm): string => `${vm.name}@${vm.address}`;
+const vmKey = (vm: Vm): string => `${vm.name}@${vm.address}`;
 
 /** Creates a directory that knows nobody yet. */
-export const createDirectory = (options: DirectoryOptions): Directory => {
+export const createUpstreamDirectory = (options: UpstreamDirectoryOptions): UpstreamDirectory => {
   const { list, connect, clock, random, metrics, log, intervalMs } = options;
   const pause = createPause(clock);
-  const listed = new Map<string, Entry>();
-  const forgotten = new Set<Entry>();
+  const listed = new Map<string, ListedUpstream>();
+  const removed = new Set<ListedUpstream>();
   const membership = createMembership<Vm>({ clock, metrics });
   let vms: Vm[] = [];
-  let lastRead: Vm[] = [];
-  let listAnswers = true;
+  let lastList: Vm[] = [];
+  let listReachable = true;
   let stopped = false;
 
   /** When a whole data centre appears in the list, every entry would dial each of its agents at once. */
-  const connectLater: ConnectAgent = (vm, onLink) => {
+  const connectAfterDelay: ConnectAgent = (vm, onLink) => {
     const dialers = vms.filter(({ role }) => role === 'entry').length;
-    const delayMs = dialDelayMs({ dialers, acceptsPerSecond: ACCEPTS_PER_SECOND, random });
+    const delayMs = dialDelayMs({ dialers, acceptsPerSecond: AGENT_ACCEPTS_PER_SECOND, random });
     if (delayMs === 0) return connect(vm, onLink);
     let client: Pick<LinkClient, 'close'> | undefined;
     const cancel = clock.after(delayMs, () => {
@@ -82,84 +82,84 @@
     };
   };
 
-  const add = (vm: Vm): void => {
-    const upstream = createUpstream(vm, metrics, options.eventsOf(vm));
+  const addUpstream = (vm: Vm): void => {
+    const upstream = createUpstream(vm, metrics, options.createEventHandlers(vm));
     const onLink = (link: Link): FrameHandler => {
       const { instance } = link.peer;
       membership.linked(vm.name, instance);
       void link.closed.then(() => membership.unlinked(vm.name, instance));
       return upstream.onLink(link);
     };
-    listed.set(keyOf(vm), { upstream, client: connectLater(vm, onLink) });
+    listed.set(vmKey(vm), { upstream, client: connectAfterDelay(vm, onLink) });
     log.info(`upstream ${vm.name} at ${vm.address} appeared`);
   };
 
-  const forget = (key: string, entry: Entry): void => {
+  const removeUpstream = (key: string, entry: ListedUpstream): void => {
     listed.delete(key);
-    forgotten.add(entry);
+    removed.add(entry);
     log.info(`upstream ${entry.upstream.vm().name} left the list`);
   };
 
   /** A VM that the list forgot may still be answering: its link ends after its last attempt. */
-  const closeForgotten = (): void => {
-    [...forgotten]
+  const closeIdleRemoved = (): void => {
+    [...removed]
       .filter(({ upstream }) => upstream.outstanding() === 0)
       .forEach((entry) => {
-        forgotten.delete(entry);
+        removed.delete(entry);
         void entry.client.close();
       });
   };
 
-  const take = (next: Vm[]): void => {
+  const applyVms = (next: Vm[]): void => {
     vms = next;
-    const isWanted = options.onList(next);
+    const isWanted = options.applyVmList(next);
     const wanted = new Map(
-      next.filter((vm) => vm.role === 'upstream' && isWanted(vm)).map((vm) => [keyOf(vm), vm]),
+      next.filter((vm) => vm.role === 'upstream' && isWanted(vm)).map((vm) => [vmKey(vm), vm]),
     );
     listed.forEach((entry, key) => {
       const vm = wanted.get(key);
       if (vm) entry.upstream.setVm(vm);
-      else forget(key, entry);
+      else removeUpstream(key, entry);
     });
     wanted.forEach((vm, key) => {
-      if (!listed.has(key)) add(vm);
+      if (!listed.has(key)) addUpstream(vm);
     });
-    closeForgotten();
+    closeIdleRemoved();
   };
 
   /** The list as far as the links don't contradict it: it lags, and may have lost its records. */
-  const believed = (next: Vm[]): Vm[] => {
+  const reconcileWithLinks = (next: Vm[]): Vm[] => {
     membership.listed(next.filter(({ role }) => role === 'upstream'));
     const upstreams = membership.members().filter(({ standing }) => standing !== 'forgotten');
     return [...next.filter(({ role }) => role === 'entry'), ...upstreams.map(({ vm }) => vm)];
   };
 
   /** Nothing follows from a list that was read before, unless a VM missing from it is waited for. */
-  const isNews = (next: Vm[]): boolean => {
-    if (next !== lastRead) return true;
+  const needsUpdate = (next: Vm[]): boolean => {
+    if (next !== lastList) return true;
     const names = new Set(next.map(({ name }) => name));
     return vms.some(({ name }) => !names.has(name));
   };
 
-  const takeRead = (next: Vm[]): void => {
-    if (!isNews(next)) {
+  const handleList = (next: Vm[]): void => {
+    if (!needsUpdate(next)) {
       metrics.count('vm_list_unchanged');
-      closeForgotten();
+      closeIdleRemoved();
       return;
     }
-    lastRead = next;
-    take(believed(next));
+    lastList = next;
+    applyVms(reconcileWithLinks(next));
   };
 
   /** An outage of the list is no reason to drop upstreams that still answer. */
   const refresh = async (): Promise<boolean> => {
-    const read = await list.list();
+    const result = await list.list();
     if (stopped) return true;
-    if (read.ok !== listAnswers) log.warn(`VM list ${read.ok ? 'answers again' : 'is down'}`);
-    listAnswers = read.ok;
-    if (read.ok) takeRead(read.value);
-    else metrics.count('vm_list_failed', { kind: read.err.kind });
-    return read.ok;
+    if (result.ok !== listReachable) log.warn(`VM list ${result.ok ? 'reachable' : 'unreachable'}`);
+    listReachable = result.ok;
+    if (result.ok) handleList(result.value);
+    else metrics.count('vm_list_failed', { kind: result.err.kind });
+    return result.ok;
   };
 
   return {
@@ -175,7 +175,7 @@
     close: async () => {
       stopped = true;
       pause.end();
-      const entries = [...listed.values(), ...forgotten];
+      const entries = [...listed.values(), ...removed];
       await Promise.all(entries.map((entry) => entry.client.close()));
     },
   };
--- a/packages/plantaindrum/src/core/upstreams/upstream.ts
+++ b/packages/plantaindrum/src/core/upstreams/upstream.ts
@@ -5,19 +5,19 @@
 import type { Vm } from '@plantaindrum/service-clients';
 import type { AttemptUpstream, OpenAttempt } from '../attempts/types.js';
 
-const MOST_PENDING_CANCELS = 1_024;
+const MAX_PENDING_CANCELS = 1_024;
 
 /** Time between two looks at an upstream's silence, in milliseconds. */
-export const SILENCE_TICK_MS = 200;
+export const SILENCE_CHECK_INTERVAL_MS = 200;
 
 /**
  * Ticks without any frame after which an agent counts as silent. Pongs come every 500 ms, so three
  * are usual; ticks are counted and not time, because a process that was itself frozen has read
  * nothing for long and must not blame its upstreams.
  */
-const SILENT_TICKS = 5;
+const MAX_QUIET_CHECKS = 5;
 
-const noEvents: UpstreamEvents = { load: () => {}, leaving: () => {}, linked: () => {} };
+const noEvents: UpstreamEventHandlers = { load: () => {}, leaving: () => {}, linked: () => {} };
 
 /** An upstream with its agent's link. */
 export interface Upstream extends AttemptUpstream {
@@ -30,13 +30,13 @@
   /** The agent or the list says that no new work may go there. */
   leaving(): boolean;
   /** To be called every `SILENCE_TICK_MS`: finds out whether the agent still says anything. */
-  tick(): void;
+  checkSilence(): void;
   /** Takes each new link; the result takes its frames. */
   onLink(link: Link): FrameHandler;
 }
 
 /** What routing learns from an upstream's link. */
-export interface UpstreamEvents {
+export interface UpstreamEventHandlers {
   load(load: Load): void;
   leaving(): void;
   linked(linked: boolean): void;
@@ -44,46 +44,46 @@
 
 /** Creates an upstream without a link. */
 export const createUpstream = (
-  first: Vm,
+  initialVm: Vm,
   metrics: Metrics,
-  events: UpstreamEvents = noEvents,
+  events: UpstreamEventHandlers = noEvents,
 ): Upstream => {
-  let vm = first;
+  let vm = initialVm;
   let link: Link | undefined;
   let load: Load | undefined;
   let agentLeaving = false;
   let lastInstance: string | undefined;
-  let quietTicks = 0;
+  let quietChecks = 0;
   let silent = false;
   const attempts = new Map<AttemptId, OpenAttempt>();
   const pendingCancels = new Map<AttemptId, string>();
 
-  const noteLoad = (next: Load): void => {
+  const applyLoad = (next: Load): void => {
     load = next;
     agentLeaving = next.leaving;
     events.load(next);
   };
 
-  const heard = (): void => {
-    quietTicks = 0;
+  const resetSilence = (): void => {
+    quietChecks = 0;
     if (!silent) return;
     silent = false;
     events.linked(true);
   };
 
-  const tick = (): void => {
+  const checkSilence = (): void => {
     if (!link || silent) return;
-    quietTicks += 1;
-    if (quietTicks < SILENT_TICKS) return;
+    quietChecks += 1;
+    if (quietChecks < MAX_QUIET_CHECKS) return;
     silent = true;
     metrics.count('upstream_silent');
     events.linked(false);
     attempts.forEach((attempt) => attempt.push({ t: 'silent' }));
   };
 
-  const deliver = (frame: PeerFrame): void => {
-    heard();
-    if ('load' in frame && frame.load) noteLoad(frame.load);
+  const handleFrame = (frame: PeerFrame): void => {
+    resetSilence();
+    if ('load' in frame && frame.load) applyLoad(frame.load);
     if (frame.t === 'leaving') {
       agentLeaving = true;
       events.leaving();
@@ -97,8 +97,8 @@
     else metrics.count('frames_for_closed_attempt', { frame: frame.t });
   };
 
-  const onDown = (ended: Link): void => {
-    if (link !== ended) return;
+  const handleLinkClosed = (closedLink: Link): void => {
+    if (link !== closedLink) return;
     link = undefined;
     events.linked(false);
     attempts.forEach((attempt) => attempt.push({ t: 'link-lost' }));
@@ -116,18 +116,18 @@
     const { instance } = next.peer;
     if (instance !== lastInstance) agentLeaving = false;
     lastInstance = instance;
-    quietTicks = 0;
+    quietChecks = 0;
     silent = false;
     events.linked(true);
-    void next.closed.then(() => onDown(next));
+    void next.closed.then(() => handleLinkClosed(next));
     sendPendingCancels(next);
     attempts.forEach((attempt) => attempt.push({ t: 'link-up', instance }));
-    return deliver;
+    return handleFrame;
   };
 
   const cancel = (id: AttemptId, instance: string): void => {
     if (link?.peer.instance === instance && link.send({ t: 'cancel', id })) return;
-    if (pendingCancels.size < MOST_PENDING_CANCELS) pendingCancels.set(id, instance);
+    if (pendingCancels.size < MAX_PENDING_CANCELS) pendingCancels.set(id, instance);
     else metrics.count('cancels_dropped');
   };
 
@@ -141,17 +141,17 @@
     load: () => load,
     outstanding: () => attempts.size,
     leaving: () => agentLeaving || vm.state === 'leaving',
-    tick,
+    checkSilence,
     onLink,
     open: (id, attempt) => {
       attempts.set(id, attempt);
       return () => attempts.delete(id);
     },
     dispatch: async (frame) => {
-      const chosen = link;
-      if (!chosen) return false;
-      await chosen.drained();
-      const isSent = chosen.send(frame);
+      const target = link;
+      if (!target) return false;
+      await target.drained();
+      const isSent = target.send(frame);
       if (isSent) metrics.count('dispatches', { upstream: vm.name });
       return isSent;
     },
--- a/packages/plantaindrum/test/callers-door.test.ts
+++ b/packages/plantaindrum/test/caller-server.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import type { FakeAgent } from './support/fake-agent.js';
-import { answerWith, startFakeAgent } from './support/fake-agent.js';
+import { sendAnswer, startFakeAgent } from './support/fake-agent.js';
 import type { TestSite } from './support/site.js';
 import { startSite, upstreamVm } from './support/site.js';
 
@@ -12,7 +12,7 @@
 
   before(async () => {
     agent = await startFakeAgent((frame, link) => {
-      if (frame.t === 'dispatch') answerWith(link, frame, `{"path":"${frame.path}"}`);
+      if (frame.t === 'dispatch') sendAnswer(link, frame, `{"path":"${frame.path}"}`);
     });
     const service = { kind: 'service', service: 'exports' };
     site = await startSite(
--- a/packages/plantaindrum/test/cli.test.ts
+++ b/packages/plantaindrum/test/cli.test.ts
@@ -4,7 +4,7 @@
 import { expect } from 'chai';
 import type { EntryStatus, NodeReport } from '../src/index.js';
 import { runCli } from '../src/index.js';
-import { formatStatus } from '../src/cli/status/format.js';
+import { formatEntryStatus } from '../src/cli/status/format.js';
 import type { TestSite } from './support/site.js';
 import { startSite, TOKEN } from './support/site.js';
 
@@ -162,6 +162,6 @@
       },
       { node: 'kent-u2', role: 'agent', dataCentre: 'kent' },
     ];
-    expect(formatStatus(status, nodes)).toMatchSnapshot();
+    expect(formatEntryStatus(status, nodes)).toMatchSnapshot();
   });
 });
--- a/packages/plantaindrum/test/directory.test.ts
+++ b/packages/plantaindrum/test/directory.test.ts
@@ -3,14 +3,14 @@
 import type { ManualClock, Metrics } from '@plantaindrum/common';
 import type { Link, LinkCloseReason } from '@plantaindrum/link';
 import type { Vm } from '@plantaindrum/service-clients';
-import type { Directory } from '../src/core/upstreams/directory.js';
-import { createDirectory } from '../src/core/upstreams/directory.js';
+import type { UpstreamDirectory } from '../src/core/upstreams/directory.js';
+import { createUpstreamDirectory } from '../src/core/upstreams/directory.js';
 
 describe('directory of upstreams', () => {
   let clock: ManualClock;
   let metrics: Metrics;
   let list: Vm[];
-  let directory: Directory;
+  let directory: UpstreamDirectory;
   let endLink: Map<string, (reason: LinkCloseReason) => void>;
 
   const vm = (name: string): Vm => ({
@@ -30,14 +30,14 @@
     metrics = createMetrics();
     endLink = new Map();
     list = ['a', 'b', 'c'].map(vm);
-    directory = createDirectory({
+    directory = createUpstreamDirectory({
       list: { list: async () => ok(list) },
       connect: ({ name }, onLink) => {
         onLink(linkTo(name));
         return { close: async () => {} };
       },
-      onList: () => () => true,
-      eventsOf: () => ({ load: () => {}, leaving: () => {}, linked: () => {} }),
+      applyVmList: () => () => true,
+      createEventHandlers: () => ({ load: () => {}, leaving: () => {}, linked: () => {} }),
       ...{ clock, metrics, random: () => 0.5, log: silentLogger, intervalMs: 1_000 },
     });
     await directory.refresh();
--- a/packages/plantaindrum/test/leaving.test.ts
+++ b/packages/plantaindrum/test/leaving.test.ts
@@ -2,7 +2,7 @@
 import type { Dispatch, Link, PeerFrame } from '@plantaindrum/link';
 import { runCli } from '../src/index.js';
 import type { FakeAgent } from './support/fake-agent.js';
-import { answerWith, idle, startFakeAgent } from './support/fake-agent.js';
+import { sendAnswer, idleLoad, startFakeAgent } from './support/fake-agent.js';
 import type { TestSite } from './support/site.js';
 import { startSite, TOKEN, upstreamVm } from './support/site.js';
 
@@ -10,7 +10,7 @@
 const inLynnwood = { kind: 'model', model: 'lot-writer', data_centre: 'lynnwood' };
 
 const answerAll = (frame: PeerFrame, link: Link): void => {
-  if (frame.t === 'dispatch') answerWith(link, frame, '{}');
+  if (frame.t === 'dispatch') sendAnswer(link, frame, '{}');
 };
 
 const dispatches = ({ frames }: FakeAgent): Dispatch[] =>
@@ -64,7 +64,7 @@
   it('runs work elsewhere that was handed back', async () => {
     const handBack = (frame: PeerFrame, link: Link): void => {
       if (frame.t !== 'dispatch') return;
-      link.send({ t: 'not-run', id: frame.id, reason: 'leaving', retryAfterMs: 0, load: idle });
+      link.send({ t: 'not-run', id: frame.id, reason: 'leaving', retryAfterMs: 0, load: idleLoad });
     };
     kent = await startFakeAgent(handBack);
     lynnwood = await startFakeAgent(answerAll);
@@ -88,7 +88,7 @@
     await start((frame, link) => {
       if (frame.t !== 'dispatch') return;
       if (frame.path.endsWith('?held')) held.push([link, frame]);
-      else answerWith(link, frame, '{}');
+      else sendAnswer(link, frame, '{}');
     });
     const slow = site.call('/v1/completions?held', { body });
     await Promise.race([kent.next('dispatch'), lynnwood.next('dispatch')]);
@@ -109,7 +109,7 @@
     await shown;
     expect((await site.operators('GET', '/ready')).status).to.equal(503);
     await callMany(4);
-    held.forEach(([link, dispatch]) => answerWith(link, dispatch, '{"whole":true}'));
+    held.forEach(([link, dispatch]) => sendAnswer(link, dispatch, '{"whole":true}'));
     expect((await slow).text).to.equal('{"whole":true}');
     expect(await stop).to.equal(0);
     expect(lines.at(-1)).to.equal('kent is stopped: nothing is in flight');
@@ -119,8 +119,8 @@
       'data-centre-stopping',
     ]);
 
-    const startAgain = await runCli(['data-centre', 'start', 'kent', '--author', 'op'], io);
-    expect(startAgain).to.equal(0);
+    const startExitCode = await runCli(['data-centre', 'start', 'kent', '--author', 'op'], io);
+    expect(startExitCode).to.equal(0);
     expect((await site.operators('GET', '/ready')).status).to.equal(200);
   });
 
@@ -158,7 +158,7 @@
     await Promise.race([kent.next('dispatch'), lynnwood.next('dispatch')]);
     const drained = site.drain();
     expect((await site.operators('GET', '/ready')).status).to.equal(503);
-    held.forEach(([link, dispatch]) => answerWith(link, dispatch, '{"whole":true}'));
+    held.forEach(([link, dispatch]) => sendAnswer(link, dispatch, '{"whole":true}'));
     expect((await slow).text).to.equal('{"whole":true}');
     await drained;
   });
--- a/packages/plantaindrum/test/process.test.ts
+++ b/packages/plantaindrum/test/process.test.ts
@@ -16,12 +16,12 @@
 type Child = ChildProcessByStdio<null, Readable, Readable>;
 
 /** Resolves with what a stream has said once that holds the text. */
-const said = (stream: Readable, text: string): Promise<string> =>
+const outputContaining = (stream: Readable, text: string): Promise<string> =>
   new Promise((resolve) => {
-    let all = '';
+    let output = '';
     stream.on('data', (part) => {
-      all += String(part);
-      if (all.includes(text)) resolve(all);
+      output += String(part);
+      if (output.includes(text)) resolve(output);
     });
   });
 
@@ -61,7 +61,7 @@
 
   it('says where its doors are, and ends with 0 on SIGTERM', async () => {
     startWith(ANY_PORT);
-    const ready = JSON.parse(await said(child.stdout, '\n')) as Record<string, unknown>;
+    const ready = JSON.parse(await outputContaining(child.stdout, '\n')) as Record<string, unknown>;
     expect(Object.keys(ready)).to.deep.equal(['ready', 'callers', 'operators', 'link']);
     expect(ready.ready).to.equal(true);
     child.kill('SIGTERM');
@@ -70,8 +70,8 @@
 
   it('ends at once on a second signal', async () => {
     startWith(ANY_PORT);
-    await said(child.stdout, '\n');
-    const noticed = said(child.stderr, 'a second signal ends at once');
+    await outputContaining(child.stdout, '\n');
+    const noticed = outputContaining(child.stderr, 'a second signal ends at once');
     child.kill('SIGTERM');
     await noticed;
     child.kill('SIGINT');
@@ -81,7 +81,7 @@
   it('ends with an error when it cannot listen', async () => {
     const { hostname, port } = new URL(log.url);
     startWith({ host: hostname, port: Number(port) });
-    const told = said(child.stderr, 'Hint');
+    const told = outputContaining(child.stderr, 'Hint');
     expect(await once(child, 'exit')).to.deep.equal([5, null]);
     expect(await told).to.match(/^\[listen-failed\]/m);
   });
--- a/packages/plantaindrum/test/requests.test.ts
+++ b/packages/plantaindrum/test/requests.test.ts
@@ -3,33 +3,33 @@
 import { expect } from 'chai';
 import type { Link, PeerFrame } from '@plantaindrum/link';
 import type { FakeAgent } from './support/fake-agent.js';
-import { answerWith, idle, startFakeAgent } from './support/fake-agent.js';
+import { sendAnswer, idleLoad, startFakeAgent } from './support/fake-agent.js';
 import type { TestSite } from './support/site.js';
 import { startSite, upstreamVm } from './support/site.js';
 
 const body = JSON.stringify({ model: 'lot-writer', prompt: 'a car' });
-const exportsOf = { kind: 'service', service: 'exports' };
+const exportsLabels = { kind: 'service', service: 'exports' };
 
-type Script = (frame: PeerFrame, link: Link) => void;
+type AgentScript = (frame: PeerFrame, link: Link) => void;
 
 const refuseWith =
-  (reason: 'queue-full' | 'deadline-unreachable', retryAfterMs: number): Script =>
+  (reason: 'queue-full' | 'deadline-unreachable', retryAfterMs: number): AgentScript =>
   (frame, link) => {
     if (frame.t !== 'dispatch') return;
-    link.send({ t: 'not-run', id: frame.id, reason, retryAfterMs, load: idle });
+    link.send({ t: 'not-run', id: frame.id, reason, retryAfterMs, load: idleLoad });
   };
 
-const breakOff: Script = (frame, link) => {
+const breakOff: AgentScript = (frame, link) => {
   if (frame.t !== 'dispatch') return;
-  link.send({ t: 'unknown', id: frame.id, reason: 'upstream-broke-off', load: idle });
+  link.send({ t: 'unknown', id: frame.id, reason: 'upstream-broke-off', load: idleLoad });
 };
 
-const answer: Script = (frame, link) => {
-  if (frame.t === 'dispatch') answerWith(link, frame, '{}');
+const answer: AgentScript = (frame, link) => {
+  if (frame.t === 'dispatch') sendAnswer(link, frame, '{}');
 };
 
 /** The first dispatch that any of the agents gets is served by one script, later ones by another. */
-const firstThen = (first: Script, later: Script): Script => {
+const firstThen = (first: AgentScript, later: AgentScript): AgentScript => {
   let count = 0;
   return (frame, link) => {
     if (frame.t !== 'dispatch') return;
@@ -43,7 +43,7 @@
   let agents: FakeAgent[];
 
   const start = async (
-    script: Script,
+    script: AgentScript,
     labels?: Record<string, string>,
     limits: Record<string, number> = {},
   ): Promise<TestSite> => {
@@ -66,16 +66,16 @@
   // refused before, since an upstream that had been tried was never asked again.
   it('go again to an upstream that a dispatch never reached, where no other is left', async () => {
     let lost = 0;
-    const loseTwo: Script = (frame, link) => {
+    const loseTwoDispatches: AgentScript = (frame, link) => {
       if (frame.t !== 'dispatch') return;
       lost += 1;
-      if (lost > 2) answerWith(link, frame, '{}');
+      if (lost > 2) sendAnswer(link, frame, '{}');
       else {
         const reason = 'never-arrived';
-        link.send({ t: 'not-run', id: frame.id, reason, retryAfterMs: 0, load: idle });
+        link.send({ t: 'not-run', id: frame.id, reason, retryAfterMs: 0, load: idleLoad });
       }
     };
-    const site = await start(loseTwo);
+    const site = await start(loseTwoDispatches);
     const res = await site.call('/v1/completions', { body });
     expect([res.status, sent()]).to.deep.equal([200, 3]);
   });
@@ -89,7 +89,7 @@
   });
 
   it('run at another upstream after a proved "not run"', async () => {
-    const site = await start(firstThen(refuseWith('queue-full', 50), answer), exportsOf);
+    const site = await start(firstThen(refuseWith('queue-full', 50), answer), exportsLabels);
     const { status } = await site.call('/exports/1', { body: '{}' });
     expect([status, sent()]).to.deep.equal([200, 2]);
     expect(site.metrics.counter('retries', { reason: 'queue-full' })).to.equal(1);
@@ -100,7 +100,7 @@
    * had its effect: no other upstream gets it, and the caller is told that nobody knows.
    */
   it('that may not be repeated go to no second upstream while the outcome is unknown', async () => {
-    const site = await start(firstThen(breakOff, answer), exportsOf);
+    const site = await start(firstThen(breakOff, answer), exportsLabels);
     const { status, headers } = await site.call('/exports/1', { body: '{}' });
     expect([status, headers['x-plantaindrum-outcome'], sent()]).to.deep.equal([502, 'unknown', 1]);
     expect(site.metrics.counter('retries_denied', { reason: 'may-not-repeat' })).to.equal(1);
@@ -128,7 +128,7 @@
    * as not run, and has not been given to any upstream; once there is room the same caller is served.
    */
   it('over the limit of connections get a refusal and not a reset', async () => {
-    const site = await start(answer, exportsOf, { connections: 1 });
+    const site = await start(answer, exportsLabels, { connections: 1 });
     const { hostname, port } = new URL(site.entry.callers);
     const first = connect(Number(port), hostname);
     await once(first, 'connect');
--- a/packages/plantaindrum/test/run-attempt.test.ts
+++ b/packages/plantaindrum/test/run-attempt.test.ts
@@ -2,13 +2,13 @@
 import { createManualClock, createMetrics } from '@plantaindrum/common';
 import type { AttemptId, PeerFrame } from '@plantaindrum/link';
 import { INITIAL_CREDIT_BYTES } from '@plantaindrum/link';
-import { defaultAttemptTimes, runAttempt } from '../src/core/attempts/run-attempt.js';
-import type { AnswerSink, Work } from '../src/core/attempts/types.js';
+import { defaultAttemptTimeouts, runAttempt } from '../src/core/attempts/run-attempt.js';
+import type { ResponseSink, DispatchPayload } from '../src/core/attempts/types.js';
 import { createUpstream } from '../src/core/upstreams/upstream.js';
-import { idle } from './support/fake-agent.js';
+import { idleLoad } from './support/fake-agent.js';
 import { createFakeLink } from './support/fake-link.js';
 
-const work: Work = {
+const work: DispatchPayload = {
   organisation: 'rainier',
   class: 'export',
   priority: 'normal',
@@ -21,7 +21,7 @@
 };
 
 /** Lets everything that waits for nothing outside run. */
-const settled = (): Promise<void> =>
+const flushMicrotasks = (): Promise<void> =>
   new Promise((resolve) => {
     setImmediate(resolve);
   });
@@ -33,7 +33,12 @@
   data: Buffer.from(text),
 });
 const head = (id: AttemptId): PeerFrame => ({ t: 'head', id, status: 200, headers: {} });
-const end = (id: AttemptId, length: number): PeerFrame => ({ t: 'end', id, length, load: idle });
+const end = (id: AttemptId, length: number): PeerFrame => ({
+  t: 'end',
+  id,
+  length,
+  load: idleLoad,
+});
 
 const setUp = () => {
   const clock = createManualClock();
@@ -49,10 +54,10 @@
   const upstream = createUpstream(vm, metrics);
   const first = createFakeLink('agent-1');
   const deliver = upstream.onLink(first.link);
-  let leave = (): void => {};
+  let disconnectCaller = (): void => {};
   let text = '';
   let room: Promise<void> = Promise.resolve();
-  const answer: AnswerSink = {
+  const answer: ResponseSink = {
     head: () => true,
     write: async (data) => {
       text += Buffer.from(data).toString();
@@ -65,15 +70,15 @@
     runAttempt({
       id,
       upstream,
-      work,
-      answer,
-      onCallerGone: (fn) => {
-        leave = fn;
+      payload: work,
+      response: answer,
+      onCallerDisconnect: (fn) => {
+        disconnectCaller = fn;
         return () => {};
       },
-      repeatable,
+      mayRunElsewhere: repeatable,
       ticket: { started: () => {}, firstByte: () => {} },
-      times: defaultAttemptTimes,
+      timeouts: defaultAttemptTimeouts,
       clock,
       metrics,
     });
@@ -89,10 +94,10 @@
     deliver,
     run,
     reconnect,
-    leave: () => leave(),
+    disconnectCaller: () => disconnectCaller(),
     text: () => text,
     /** The caller reads nothing until the result is called. */
-    fill: (): (() => void) => {
+    stallCaller: (): (() => void) => {
       let drain = (): void => {};
       room = new Promise((resolve) => {
         drain = resolve;
@@ -116,7 +121,7 @@
    * The agent's answer lacks bytes, repeats them or ends early. Passed on, the caller would take a
    * damaged answer for a whole one; so it ends as unknown, counted, and the agent is told to stop.
    */
-  const damaged: Record<string, { frames: PeerFrame[]; fault: string }> = {
+  const invalidResponses: Record<string, { frames: PeerFrame[]; fault: string }> = {
     'a chunk is missing': {
       frames: [head('e:1'), chunk('e:1', 0, 'ab'), chunk('e:1', 4, 'ef')],
       fault: 'wrong-offset',
@@ -133,12 +138,12 @@
     '"not run" comes after a head': {
       frames: [
         head('e:1'),
-        { t: 'not-run', id: 'e:1', reason: 'leaving', retryAfterMs: 0, load: idle },
+        { t: 'not-run', id: 'e:1', reason: 'leaving', retryAfterMs: 0, load: idleLoad },
       ],
       fault: 'not-run-after-head',
     },
   };
-  Object.entries(damaged).forEach(([name, { frames, fault }]) => {
+  Object.entries(invalidResponses).forEach(([name, { frames, fault }]) => {
     it(`is unknown when ${name}`, async () => {
       const { deliver, run, first, metrics } = setUp();
       const outcome = run('e:1');
@@ -169,12 +174,12 @@
    * so that the answer waits at the agent and not in this process.
    */
   it('grants credit only once the caller has room', async () => {
-    const { deliver, run, first, fill, text } = setUp();
+    const { deliver, run, first, stallCaller: fill, text } = setUp();
     const drain = fill();
     const outcome = run('e:1');
-    await first.sentOne('dispatch');
+    await first.waitForSent('dispatch');
     [head('e:1'), chunk('e:1', 0, 'ab'), end('e:1', 2)].forEach(deliver);
-    await settled();
+    await flushMicrotasks();
     expect([text(), first.sent.map(({ t }) => t)]).to.deep.equal(['ab', ['dispatch']]);
     drain();
     expect(await outcome).to.deep.equal({ outcome: 'answered' });
@@ -182,7 +187,7 @@
   });
 
   it('holds no more than the credit for a slow caller', async () => {
-    const { deliver, run, fill, metrics } = setUp();
+    const { deliver, run, stallCaller: fill, metrics } = setUp();
     const drain = fill();
     const outcome = run('e:1');
     const part = 'x'.repeat(INITIAL_CREDIT_BYTES / 2);
@@ -195,7 +200,7 @@
 
   it('is not run when nothing could be sent', async () => {
     const { run, first } = setUp();
-    await first.lose();
+    await first.closeByPeer();
     const outcome = await run('e:1');
     expect(outcome.outcome).to.equal('not-run');
   });
@@ -208,10 +213,10 @@
     const { deliver, run, first, reconnect, text } = setUp();
     const outcome = run('e:1');
     [head('e:1'), chunk('e:1', 0, 'ab')].forEach(deliver);
-    await first.sentOne('credit');
-    await first.lose();
+    await first.waitForSent('credit');
+    await first.closeByPeer();
     const second = reconnect('agent-1');
-    const query = await second.sentOne('query');
+    const query = await second.waitForSent('query');
     expect(query).to.deep.equal({ t: 'query', id: 'e:1', headReceived: true, received: 2 });
     second.deliver({ t: 'in-progress', id: 'e:1', started: true });
     [chunk('e:1', 2, 'cd'), end('e:1', 4)].forEach(second.deliver);
@@ -222,12 +227,12 @@
   it('is not run when the agent has put a tombstone on it after a lost link', async () => {
     const { run, first, reconnect } = setUp();
     const outcome = run('e:1');
-    await first.sentOne('dispatch');
-    await first.lose();
+    await first.waitForSent('dispatch');
+    await first.closeByPeer();
     const second = reconnect('agent-1');
-    await second.sentOne('query');
+    await second.waitForSent('query');
     const reason = 'upstream-unreachable';
-    second.deliver({ t: 'not-run', id: 'e:1', reason, retryAfterMs: 5, load: idle });
+    second.deliver({ t: 'not-run', id: 'e:1', reason, retryAfterMs: 5, load: idleLoad });
     expect(await outcome).to.deep.equal({ outcome: 'not-run', reason, retryAfterMs: 5 });
   });
 
@@ -238,8 +243,8 @@
   it('is unknown when another agent instance comes back', async () => {
     const { run, first, reconnect } = setUp();
     const outcome = run('e:1');
-    await first.sentOne('dispatch');
-    await first.lose();
+    await first.waitForSent('dispatch');
+    await first.closeByPeer();
     const second = reconnect('agent-2');
     expect(await outcome).to.deep.equal({ outcome: 'unknown', reason: 'agent-restarted' });
     expect(second.sent).to.deep.equal([]);
@@ -248,9 +253,9 @@
   it('is unknown when no agent comes back in time', async () => {
     const { clock, run, first } = setUp();
     const outcome = run('e:1');
-    await first.sentOne('dispatch');
-    await first.lose();
-    await clock.advance(defaultAttemptTimes.reconnectMs);
+    await first.waitForSent('dispatch');
+    await first.closeByPeer();
+    await clock.advance(defaultAttemptTimeouts.reconnectMs);
     expect(await outcome).to.deep.equal({ outcome: 'unknown', reason: 'link-lost' });
   });
 
@@ -263,10 +268,10 @@
     const { upstream, run, first, metrics } = setUp();
     const repeatable = run('e:1', true);
     const once = run('e:2');
-    await first.sentOne('dispatch');
-    [1, 2, 3, 4].forEach(upstream.tick);
+    await first.waitForSent('dispatch');
+    [1, 2, 3, 4].forEach(upstream.checkSilence);
     expect(metrics.counter('upstream_silent')).to.equal(0);
-    upstream.tick();
+    upstream.checkSilence();
     expect(await repeatable).to.deep.equal({ outcome: 'unknown', reason: 'link-lost' });
     expect(first.sent.at(-1)).to.deep.equal({ t: 'cancel', id: 'e:1' });
     expect(upstream.outstanding()).to.equal(1);
@@ -277,10 +282,10 @@
   it('goes on when the agent says anything in between', async () => {
     const { upstream, run, first, deliver } = setUp();
     const outcome = run('e:1', true);
-    await first.sentOne('dispatch');
-    [1, 2, 3, 4].forEach(upstream.tick);
+    await first.waitForSent('dispatch');
+    [1, 2, 3, 4].forEach(upstream.checkSilence);
     deliver({ t: 'pong', seq: 1, intentOffset: -1 });
-    [1, 2, 3, 4].forEach(upstream.tick);
+    [1, 2, 3, 4].forEach(upstream.checkSilence);
     [head('e:1'), end('e:1', 0)].forEach(deliver);
     expect(await outcome).to.deep.equal({ outcome: 'answered' });
   });
@@ -288,10 +293,10 @@
   it('cancels a silent attempt and takes the word of the agent', async () => {
     const { clock, run, first, deliver } = setUp();
     const outcome = run('e:1');
-    await first.sentOne('dispatch');
-    await clock.advance(defaultAttemptTimes.silenceMs);
-    await first.sentOne('cancel');
-    deliver({ t: 'not-run', id: 'e:1', reason: 'cancelled', retryAfterMs: 0, load: idle });
+    await first.waitForSent('dispatch');
+    await clock.advance(defaultAttemptTimeouts.silenceMs);
+    await first.waitForSent('cancel');
+    deliver({ t: 'not-run', id: 'e:1', reason: 'cancelled', retryAfterMs: 0, load: idleLoad });
     expect((await outcome).outcome).to.equal('not-run');
   });
 
@@ -300,11 +305,11 @@
    * cancel waits for the same instance to come back.
    */
   it('cancels when the caller has gone, also after a lost link', async () => {
-    const { run, first, reconnect, leave } = setUp();
+    const { run, first, reconnect, disconnectCaller } = setUp();
     const outcome = run('e:1');
-    await first.sentOne('dispatch');
-    await first.lose();
-    leave();
+    await first.waitForSent('dispatch');
+    await first.closeByPeer();
+    disconnectCaller();
     expect(await outcome).to.deep.equal({ outcome: 'caller-gone' });
     const second = reconnect('agent-1');
     expect(second.sent).to.deep.equal([{ t: 'cancel', id: 'e:1' }]);
--- a/packages/plantaindrum/test/starting.test.ts
+++ b/packages/plantaindrum/test/starting.test.ts
@@ -3,7 +3,7 @@
 import type { AddressInfo } from 'node:net';
 import { expect } from 'chai';
 import { request } from 'undici';
-import { answerWith, startFakeAgent } from './support/fake-agent.js';
+import { sendAnswer, startFakeAgent } from './support/fake-agent.js';
 import { startSite, upstreamVm } from './support/site.js';
 
 describe('start of an entry', () => {
@@ -40,7 +40,7 @@
   // report ready, draw callers from the entries that still serve, and refuse each with "no upstream".
   it('is not ready before it has read the VM list', async () => {
     const agent = await startFakeAgent((frame, link) => {
-      if (frame.t === 'dispatch') answerWith(link, frame, '{}');
+      if (frame.t === 'dispatch') sendAnswer(link, frame, '{}');
     });
     const list = await startFailingList(2);
     const site = await startSite([upstreamVm('kent-u1', agent.address)], {}, list);
--- a/packages/plantaindrum/test/stop-command.test.ts
+++ b/packages/plantaindrum/test/stop-command.test.ts
@@ -1,12 +1,12 @@
 import { setImmediate as settle } from 'node:timers/promises';
 import { createManualClock, exitCodes } from '@plantaindrum/common';
 import { expect } from 'chai';
-import { waitUntilQuiet } from '../src/cli/data-centre/wait-until-quiet.js';
+import { waitUntilIdle } from '../src/cli/data-centre/wait-until-idle.js';
 import type { NodeReport } from '../src/core/entry/node-reports.js';
 
 const VERSION = 7;
 const POLL_MS = 500;
-const ROUNDS = 20;
+const MAX_POLLS = 20;
 
 const runWith = async (readings: NodeReport[][]) => {
   const clock = createManualClock();
@@ -20,8 +20,8 @@
     },
   };
   const io = { out: (line: string) => lines.push(line) };
-  const done = waitUntilQuiet(client, { name: 'kent', version: VERSION }, io, clock);
-  for (let round = 0; round < ROUNDS; round += 1) {
+  const done = waitUntilIdle(client, { name: 'kent', version: VERSION }, io, clock);
+  for (let poll = 0; poll < MAX_POLLS; poll += 1) {
     await settle();
     await clock.advance(POLL_MS);
   }
--- a/packages/plantaindrum/test/streams.test.ts
+++ b/packages/plantaindrum/test/streams.test.ts
@@ -3,7 +3,7 @@
 import { expect } from 'chai';
 import type { Dispatch, Link, PeerFrame } from '@plantaindrum/link';
 import type { FakeAgent } from './support/fake-agent.js';
-import { idle, startFakeAgent } from './support/fake-agent.js';
+import { idleLoad, startFakeAgent } from './support/fake-agent.js';
 import type { TestSite } from './support/site.js';
 import { startSite, upstreamVm } from './support/site.js';
 
@@ -28,18 +28,18 @@
 };
 
 const endStream = (link: Link, { id }: Dispatch, length: number): void => {
-  link.send({ t: 'end', id, length, load: idle });
+  link.send({ t: 'end', id, length, load: idleLoad });
 };
 
 const unknown = ({ id }: Dispatch): PeerFrame => ({
   t: 'unknown',
   id,
   reason: 'upstream-broke-off',
-  load: idle,
+  load: idleLoad,
 });
 
 /** Resolves when nobody listens at the address any more. */
-const doorClosed = async (url: string): Promise<void> => {
+const waitUntilRefused = async (url: string): Promise<void> => {
   try {
     const socket = connect(Number(new URL(url).port), '127.0.0.1');
     await once(socket, 'connect');
@@ -47,7 +47,7 @@
   } catch {
     return;
   }
-  await doorClosed(url);
+  await waitUntilRefused(url);
 };
 
 describe('streams', () => {
@@ -114,7 +114,7 @@
     const call = site.call('/v1/completions', { body });
     await agents[0]?.next('dispatch');
     const drained = site.drain();
-    await doorClosed(site.entry.callers);
+    await waitUntilRefused(site.entry.callers);
     giveUp();
     expect((await call).text).to.include('event: error');
     await drained;
--- a/packages/plantaindrum/test/support/fake-agent.ts
+++ b/packages/plantaindrum/test/support/fake-agent.ts
@@ -3,7 +3,7 @@
 import { createLinkServer, defaultLinkLimits } from '@plantaindrum/link';
 
 /** Load of an idle agent. */
-export const idle: Load = { queued: 0, running: 0, drainPerSecond: 0, leaving: false };
+export const idleLoad: Load = { queued: 0, running: 0, drainPerSecond: 0, leaving: false };
 
 /** A link server that plays an agent by a test's script. */
 export interface FakeAgent {
@@ -18,7 +18,7 @@
 }
 
 /** Sends a whole answer with its length. */
-export const answerWith = (
+export const sendAnswer = (
   link: Link,
   { id }: Pick<Dispatch, 'id'>,
   text: string,
@@ -28,7 +28,7 @@
   link.send({ t: 'started', id });
   link.send({ t: 'head', id, status: 200, headers: { 'content-type': contentType } });
   link.send({ t: 'chunk', id, offset: 0, data });
-  link.send({ t: 'end', id, length: data.length, load: idle });
+  link.send({ t: 'end', id, length: data.length, load: idleLoad });
 };
 
 /** Starts a fake agent; `script` runs on each frame. */
@@ -37,7 +37,7 @@
   options: { instance?: string; port?: number } = {},
 ): Promise<FakeAgent> => {
   const frames: PeerFrame[] = [];
-  const taken = new Set<PeerFrame>();
+  const consumed = new Set<PeerFrame>();
   const waiting = new Set<() => void>();
   let current: Link | undefined;
 
@@ -61,7 +61,7 @@
       region: 'northwest',
     },
     intentOffset: () => -1,
-    load: () => idle,
+    load: () => idleLoad,
     limits: defaultLinkLimits,
     handlers: {
       'node.status': async () => ({ inFlight: 0, intent: { offset: Number.MAX_SAFE_INTEGER } }),
@@ -81,9 +81,9 @@
 
   const next: FakeAgent['next'] = async (kind) => {
     for (;;) {
-      const found = frames.find((frame) => frame.t === kind && !taken.has(frame));
+      const found = frames.find((frame) => frame.t === kind && !consumed.has(frame));
       if (found) {
-        taken.add(found);
+        consumed.add(found);
         return found as never;
       }
       await nextFrame();
--- a/packages/plantaindrum/test/support/fake-link.ts
+++ b/packages/plantaindrum/test/support/fake-link.ts
@@ -6,9 +6,9 @@
   /** Frames that were sent, in order. */
   sent: Frame[];
   /** Resolves once a frame of the kind has been sent. */
-  sentOne(kind: Frame['t']): Promise<Frame>;
+  waitForSent(kind: Frame['t']): Promise<Frame>;
   /** Ends the link; resolves when those who wait for its end know. */
-  lose(): Promise<void>;
+  closeByPeer(): Promise<void>;
 }
 
 /** Creates an open link to an agent of the given instance. */
@@ -16,9 +16,9 @@
   const sent: Frame[] = [];
   const waiting = new Set<() => void>();
   let open = true;
-  let end: (reason: LinkCloseReason) => void = () => {};
+  let resolveClosed: (reason: LinkCloseReason) => void = () => {};
   const closed = new Promise<LinkCloseReason>((resolve) => {
-    end = resolve;
+    resolveClosed = resolve;
   });
 
   const nextSend = (): Promise<void> =>
@@ -53,16 +53,16 @@
   return {
     link,
     sent,
-    sentOne: async (kind) => {
+    waitForSent: async (kind) => {
       for (;;) {
         const found = sent.find((frame) => frame.t === kind);
         if (found) return found;
         await nextSend();
       }
     },
-    lose: async () => {
+    closeByPeer: async () => {
       open = false;
-      end('closed-by-peer');
+      resolveClosed('closed-by-peer');
       await closed;
       // Everyone who waits for the end runs before the next turn of the event loop.
       await new Promise((resolve) => {
--- a/packages/plantaindrum/test/support/site.ts
+++ b/packages/plantaindrum/test/support/site.ts
@@ -36,7 +36,7 @@
 ];
 
 /** An answer as a caller sees it; `broken` when it did not end cleanly. */
-export interface CallerAnswer {
+export interface ReceivedResponse {
   status: number;
   headers: Record<string, string | string[] | undefined>;
   text: string;
@@ -47,8 +47,8 @@
 export interface TestSite {
   entry: Entry;
   metrics: Metrics;
-  call(path: string, options?: CallOptions): Promise<CallerAnswer>;
-  operators(method: 'GET' | 'POST', path: string, body?: unknown): Promise<CallerAnswer>;
+  call(path: string, options?: CallOptions): Promise<ReceivedResponse>;
+  operators(method: 'GET' | 'POST', path: string, body?: unknown): Promise<ReceivedResponse>;
   /** Closes the entry, unless a test has let it end by itself, and the stand-ins. */
   close(): Promise<void>;
   /** Lets the entry end by itself. */
@@ -63,7 +63,7 @@
   signal?: AbortSignal;
 }
 
-const send = async (url: string, options: CallOptions): Promise<CallerAnswer> => {
+const send = async (url: string, options: CallOptions): Promise<ReceivedResponse> => {
   const res = await request(url, {
     method: options.method ?? 'POST',
     headers: options.headers ?? {},
@@ -107,12 +107,12 @@
 ): Promise<TestSite> => {
   const log = await createLogStandIn();
   const list = await createVmListStandIn({ vms });
-  const door = { host: '127.0.0.1', port: 0 };
+  const anyPort = { host: '127.0.0.1', port: 0 };
   const settings = entrySettingsSchema.parse({
     node: { name: 'kent-e1', dataCentre: 'kent', region: 'northwest' },
-    callers: door,
-    operators: { ...door, token: TOKEN },
-    link: door,
+    callers: anyPort,
+    operators: { ...anyPort, token: TOKEN },
+    link: anyPort,
     platform: { logUrl: log.url, vmListUrl: vmListUrl(list.url) },
     limits,
   });
