--- a/packages/plantaindrum/src/cli/apply/changes.ts
+++ b/packages/plantaindrum/src/cli/apply/changes.ts
@@ -20,8 +20,8 @@
 };
 
 /**
- * The changes that bring the intent in force to a file's. A section that the file leaves out stays
- * as it is, so that applying classes does not undo the stop of a data centre.
+ * Computes the changes that turn the intent in force into the document of a file. Sections that the
+ * file leaves out are not compared, so applying `classes` does not undo the stop of a data centre.
  */
 export const computeChanges = (
   sections: readonly string[],
@@ -32,7 +32,7 @@
     .filter((section) => sections.includes(section))
     .flatMap((section) => compareSection(section, desired[section], view));
 
-/** Throws when a key has changed since the version that the file was made from. */
+/** Throws `intent-conflict` when one of the keys has changed since `baseVersion`. */
 export const checkBaseVersion = (changes: IntentChange[], baseVersion: number): void => {
   const conflicting = changes.find(({ base }) => base > baseVersion);
   if (!conflicting) return;
--- a/packages/plantaindrum/src/cli/apply/index.ts
+++ b/packages/plantaindrum/src/cli/apply/index.ts
@@ -18,7 +18,7 @@
   return read.ok ? Object.keys(read.value) : [];
 };
 
-/** `plantaindrum apply FILE`. */
+/** `plantaindrum apply FILE`: submits the differences between a file and the intent in force. */
 export const applyCommand: Command<ApplyArgs> = {
   command: 'apply <file>',
   describe: "Put an operators' intent file in force; waits until it is accepted",
--- a/packages/plantaindrum/src/cli/check/index.ts
+++ b/packages/plantaindrum/src/cli/check/index.ts
@@ -11,7 +11,7 @@
 import { intentDocumentSchema } from '@plantaindrum/intent';
 import type { Command } from '../command.js';
 
-/** Kinds of files that can be checked. */
+/** Kinds of files that `check` validates. */
 export type FileKind = 'entry' | 'agent' | 'intent';
 
 const schemas = {
@@ -29,7 +29,7 @@
   }
 };
 
-/** Settings of an agent name an upstream; intent names neither a node nor a platform. */
+/** Agent settings have an `upstream` key; intent files have none of the keys of settings. */
 const detectKind = (text: string): FileKind => {
   if (/"upstream"\s*:/.test(text)) return 'agent';
   return /"(node|platform|callers|link)"\s*:/.test(text) ? 'entry' : 'intent';
@@ -40,7 +40,7 @@
   return parsed.ok ? [] : parsed.err;
 };
 
-/** `plantaindrum check FILE`. */
+/** `plantaindrum check FILE`: validates a settings or intent file without contacting a node. */
 export const checkCommand: Command<{ file: string; kind?: string }> = {
   command: 'check <file>',
   describe: "Validate settings or an operators' intent file",
--- a/packages/plantaindrum/src/cli/data-centre/index.ts
+++ b/packages/plantaindrum/src/cli/data-centre/index.ts
@@ -12,7 +12,7 @@
   name: string;
 }
 
-/** `plantaindrum data-centre stop|start NAME`. */
+/** `plantaindrum data-centre stop|start NAME`; `stop` waits until no request is in flight. */
 export const dataCentreCommand: Command<DataCentreArgs> = {
   command: 'data-centre <action> <name>',
   describe: 'Stop a data centre gracefully, or start it again',
--- a/packages/plantaindrum/src/cli/data-centre/wait-until-idle.ts
+++ b/packages/plantaindrum/src/cli/data-centre/wait-until-idle.ts
@@ -1,4 +1,4 @@
-/** Waiting for the end of all work in a data centre that stops. */
+/** Waits until a data centre that is being stopped has no requests in flight. */
 
 import type { Clock } from '@plantaindrum/common';
 import { exitCodes, sleep } from '@plantaindrum/common';
@@ -7,7 +7,7 @@
 import type { OperatorClient } from '../operator-client.js';
 
 const POLL_INTERVAL_MS = 500;
-/** Readings in a row that must find nothing: a request may be between two nodes at one reading. */
+/** Consecutive idle polls required: one poll can miss a request that is passing between nodes. */
 const REQUIRED_IDLE_POLLS = 3;
 
 const describeNode = (
@@ -15,11 +15,11 @@
   version: number,
 ): string => {
   if (inFlight === undefined) return `${node} (${role}) does not answer`;
-  const lag = (intentOffset ?? -1) >= version ? '' : ', has not heard of the stop';
+  const lag = (intentOffset ?? -1) >= version ? '' : ', has not received the stop';
   return `${node} (${role}) ${inFlight}${lag}`;
 };
 
-/** A node that does not answer can't be waited for: it may be gone for good, and is shown. */
+/** A node that does not answer counts as idle, since it may never return; it is still reported. */
 const isIdle = ({ inFlight, intentOffset }: NodeReport, version: number): boolean =>
   inFlight === undefined || (inFlight === 0 && (intentOffset ?? -1) >= version);
 
@@ -29,7 +29,7 @@
   return `in flight: ${shown.map((node) => describeNode(node, version)).join('; ')}`;
 };
 
-/** The last line; operators pull cables on its word, so it speaks for nodes that answered only. */
+/** Operators power machines off after this line, so it names every node that did not answer. */
 const describeResult = (name: string, unanswered: NodeReport[]): string => {
   if (unanswered.length === 0) return `${name} is stopped: nothing is in flight`;
   const names = unanswered.map(({ node }) => node).join(', ');
@@ -37,8 +37,9 @@
 };
 
 /**
- * Prints what is in flight, on each change, until nothing is and every node that answers knows of
- * the stop. Resolves with the exit code: `unreachable` when some node did not answer.
+ * Polls the nodes and prints the requests in flight whenever they change, until there are none and
+ * every node that answers has the version of the stop. Resolves with the exit code: `unreachable`
+ * when at least one node did not answer.
  */
 export const waitUntilIdle = async (
   client: Pick<OperatorClient, 'get'>,
--- a/packages/plantaindrum/src/cli/entry/index.ts
+++ b/packages/plantaindrum/src/cli/entry/index.ts
@@ -19,7 +19,10 @@
 import type { CliIo } from '../io.js';
 import { captureSignals } from './signals.js';
 
-/** The ready line is not held back longer than this, so that operators can look at the doors. */
+/**
+ * Longest wait for readiness before the addresses are printed, so that operators can query an entry
+ * that is slow to become ready.
+ */
 const READY_LINE_TIMEOUT_MS = 5_000;
 
 const errorCode = (err: unknown): string => {
@@ -43,7 +46,7 @@
   }
 };
 
-/** Serves until the first signal and the end of every request, or until the second signal. */
+/** Serves until the first signal, then drains; a second signal stops the drain. */
 const serve = async (file: string, settings: EntrySettings, io: CliIo): Promise<number> => {
   const nextSignal = captureSignals();
   const log = createLogger(settings.node.name);
@@ -54,13 +57,13 @@
   await Promise.race([entry.ready, sleep(systemClock, READY_LINE_TIMEOUT_MS), signalled]);
   const { callers, operators, link } = entry;
   io.out(JSON.stringify({ ready: entry.isReady(), callers, operators, link }));
-  log.info(`${await signalled}: requests in flight may end, a second signal ends at once`);
+  log.info(`${await signalled}: draining requests in flight, a second signal exits at once`);
   const forced = nextSignal().then(() => exitCodes.endedEarly);
   const drained = entry.drain().then(() => exitCodes.ok);
   return Promise.race([drained, forced]);
 };
 
-/** `plantaindrum entry`. */
+/** `plantaindrum entry`: runs the entry process. */
 export const entryCommand: Command<{ settings: string }> = {
   command: 'entry',
   describe: 'Serve callers: the process of an entry VM',
@@ -79,7 +82,7 @@
     try {
       return process.exit(await serve(file, settings.value, io));
     } catch (err) {
-      // What had been started before the failure would keep the process alive.
+      // Servers and timers that were started before the failure would keep the process alive.
       io.err(formatError(err));
       return process.exit(exitCodeOf(err));
     }
--- a/packages/plantaindrum/src/cli/entry/signals.ts
+++ b/packages/plantaindrum/src/cli/entry/signals.ts
@@ -3,9 +3,9 @@
 const SIGNALS: NodeJS.Signals[] = ['SIGINT', 'SIGTERM'];
 
 /**
- * Takes over the signals that ask this process to end; each call of the result resolves with the
- * next one. The handlers stay: a second signal that came between two handlers would otherwise end
- * the process by the system's default, without its exit code.
+ * Handles the termination signals; each call of the returned function resolves with the next one.
+ * The handlers stay installed: a signal that arrived while none was installed would end the process
+ * by the default action, without the exit code of an early end.
  */
 export const captureSignals = (): (() => Promise<NodeJS.Signals>) => {
   const signals = createAsyncQueue<NodeJS.Signals>();
--- a/packages/plantaindrum/src/cli/io.ts
+++ b/packages/plantaindrum/src/cli/io.ts
@@ -1,4 +1,4 @@
-/** What a command writes to; tests collect it. */
+/** Output streams and environment of a command; tests replace them. */
 export interface CliIo {
   out(line: string): void;
   err(line: string): void;
--- a/packages/plantaindrum/src/cli/main.ts
+++ b/packages/plantaindrum/src/cli/main.ts
@@ -13,6 +13,7 @@
 import { showCommand } from './show/index.js';
 import { statusCommand } from './status/index.js';
 
+/** Line width of help texts, in characters. */
 const HELP_WIDTH = 100;
 
 const EPILOGUE = `Exit codes: ${Object.entries(exitCodes)
@@ -26,7 +27,7 @@
   return (JSON.parse(text) as { version: string }).version;
 };
 
-/** Runs one command line; resolves with the exit code and never rejects. */
+/** Parses and runs one command line; resolves with the exit code and never rejects. */
 export const runCli = async (argv: string[], io: CliIo = processIo): Promise<number> => {
   let exitCode: number = exitCodes.ok;
   let parser = yargs()
--- a/packages/plantaindrum/src/cli/operator-client.ts
+++ b/packages/plantaindrum/src/cli/operator-client.ts
@@ -1,23 +1,23 @@
-/** The command line's side of the operators' door. */
+/** HTTP client of the operator server of a node. */
 
 import type { Argv } from 'yargs';
 import { request } from 'undici';
 import { PlantaindrumError } from '@plantaindrum/common';
 import type { CliIo } from './io.js';
 
-/** Where a command finds a node. */
+/** Arguments that say which node a command calls. */
 export interface OperatorArgs {
   operators?: string;
   token?: string;
 }
 
-/** An answer of the operators' door. */
+/** Response of an operator server. */
 export interface OperatorResponse {
   status: number;
   body: unknown;
 }
 
-/** Calls one node's operators' door. */
+/** Client of one operator server; throws when the node is unreachable or the token is wrong. */
 export interface OperatorClient {
   get(path: string): Promise<unknown>;
   post(path: string, body: unknown): Promise<OperatorResponse>;
@@ -45,7 +45,7 @@
   return String(code ?? name ?? err);
 };
 
-/** Creates a client for the node that the arguments or the environment name. */
+/** Creates a client for the node given by the arguments or, without them, by the environment. */
 export const createOperatorClient = (args: OperatorArgs, io: CliIo): OperatorClient => {
   const address = required(
     args.operators ?? io.env.PLANTAINDRUM_OPERATORS,
--- a/packages/plantaindrum/src/cli/show/index.ts
+++ b/packages/plantaindrum/src/cli/show/index.ts
@@ -4,7 +4,7 @@
 import { createOperatorClient, withOperatorOptions } from '../operator-client.js';
 import { fetchIntent } from '../submit.js';
 
-/** `plantaindrum show`. */
+/** `plantaindrum show`: prints the intent in force at a node. */
 export const showCommand: Command<OperatorArgs> = {
   command: 'show',
   describe: "Print the operators' intent in force at a node, with its version",
--- a/packages/plantaindrum/src/cli/status/format.ts
+++ b/packages/plantaindrum/src/cli/status/format.ts
@@ -42,7 +42,7 @@
   `${describeIntent(intent)}; ${inFlight} in flight`,
 ];
 
-/** What an agent of an expert group tells; only a coordinator that holds the claim sees the map. */
+/** Group status in the report of an agent; only the acting coordinator knows the expert map. */
 interface GroupReport {
   group?: string;
   coordinator?: {
@@ -79,7 +79,7 @@
   formatNumber(intentOffset),
 ];
 
-/** What `status` uses of an agent's document. */
+/** The part of an agent's `GET /status` document that is printed. */
 export interface AgentStatus {
   node: { name: string; dataCentre: string; region: string; role: 'agent' };
   ready: boolean;
@@ -89,7 +89,7 @@
   group?: unknown;
 }
 
-/** The text of `plantaindrum status` for an agent. */
+/** Formats the output of `plantaindrum status` for an agent. */
 export const formatAgentStatus = ({ node, ready, load, intent, group }: AgentStatus): string =>
   [
     `${node.name} (${node.role}, ${node.dataCentre}, ${node.region}): ${describeReadiness(ready, undefined)}`,
@@ -97,7 +97,7 @@
     ...(group === undefined ? [] : [`group: ${JSON.stringify(group)}`]),
   ].join('\n');
 
-/** The text of `plantaindrum status` for an entry. */
+/** Formats the output of `plantaindrum status` for an entry. */
 export const formatEntryStatus = (status: EntryStatus, nodes: NodeReport[]): string =>
   [
     ...headerLines(status),
--- a/packages/plantaindrum/src/cli/status/index.ts
+++ b/packages/plantaindrum/src/cli/status/index.ts
@@ -10,7 +10,7 @@
 const isEntry = (status: EntryStatus | AgentStatus): status is EntryStatus =>
   status.node.role === 'entry';
 
-/** `plantaindrum status`. */
+/** `plantaindrum status`; its exit code says whether a class of an entry missed its target. */
 export const statusCommand: Command<OperatorArgs & { json: boolean }> = {
   command: 'status',
   describe: 'Show nodes, upstreams, groups and classes, and whether targets are met',
--- a/packages/plantaindrum/src/cli/submit.ts
+++ b/packages/plantaindrum/src/cli/submit.ts
@@ -1,4 +1,4 @@
-/** Sends a change of intent and tells the operator what became of it. */
+/** Submits changes of the intent and reports their outcome. */
 
 import { randomUUID } from 'node:crypto';
 import { userInfo } from 'node:os';
@@ -22,7 +22,7 @@
     })
     .option('author', { type: 'string', describe: 'Who changes it; default: the login name' });
 
-/** The intent in force at the node. */
+/** Fetches the intent in force at the node. */
 export const fetchIntent = async (client: OperatorClient): Promise<IntentView> =>
   (await client.get('/intent')) as IntentView;
 
@@ -41,7 +41,7 @@
   return new PlantaindrumError('intent-unknown', { id: outcome.id });
 };
 
-/** Submits changes and resolves with the version once they are accepted; throws otherwise. */
+/** Submits changes; resolves with the new version once accepted, throws on any other outcome. */
 export const submitChanges = async (
   client: OperatorClient,
   changes: IntentChange[],
--- a/packages/plantaindrum/src/core/attempts/async-queue.ts
+++ b/packages/plantaindrum/src/core/attempts/async-queue.ts
@@ -1,11 +1,11 @@
-/** A queue with one reader. */
+/** An unbounded queue with one reader. */
 export interface AsyncQueue<T> {
   push(item: T): void;
   /** Resolves with the oldest item, waiting for one if there is none. */
   next(): Promise<T>;
 }
 
-/** Creates an empty inbox. */
+/** Creates an empty queue. */
 export const createAsyncQueue = <T>(): AsyncQueue<T> => {
   const items: T[] = [];
   let resolveNext: ((item: T) => void) | undefined;
--- a/packages/plantaindrum/src/core/attempts/run-attempt.ts
+++ b/packages/plantaindrum/src/core/attempts/run-attempt.ts
@@ -1,4 +1,4 @@
-/** One attempt, from its dispatch to its outcome. */
+/** Runs one attempt at an upstream, from its dispatch to its outcome. */
 
 import type { Clock, Metrics, RefusalReason } from '@plantaindrum/common';
 import { isRefusalReason } from '@plantaindrum/common';
@@ -15,19 +15,19 @@
   DispatchPayload,
 } from './types.js';
 
-/** Times after which an attempt is given up, in milliseconds. */
+/** Timeouts of an attempt, in milliseconds. */
 export interface AttemptTimeouts {
-  /** Wait for the same agent instance after a lost link. */
+  /** Wait for the same agent instance to reconnect after a lost link. */
   reconnectMs: number;
-  /** The same wait where the work may run elsewhere instead. */
+  /** The same wait when the request may run at another upstream instead. */
   reconnectRepeatableMs: number;
-  /** Longest silence of a linked agent before the attempt is cancelled. */
+  /** Longest time without a frame of the attempt, on an open link, before it is cancelled. */
   silenceMs: number;
-  /** Wait for the agent's word after a cancel. */
+  /** Wait for the agent's reply to a cancel. */
   cancelReplyMs: number;
 }
 
-/** Times that suit a round trip of a few milliseconds. */
+/** Timeouts for round trips of a few milliseconds. */
 export const defaultAttemptTimeouts: AttemptTimeouts = {
   reconnectMs: 2_000,
   reconnectRepeatableMs: 250,
@@ -35,17 +35,17 @@
   cancelReplyMs: 1_000,
 };
 
-/** What an attempt needs. */
+/** Options of an attempt. */
 export interface AttemptOptions {
   id: AttemptId;
   upstream: AttemptUpstream;
   payload: DispatchPayload;
   response: ResponseSink;
-  /** Tells of the caller's end; the returned function ends that. */
+  /** Calls `fn` when the caller disconnects; the returned function unsubscribes. */
   onCallerDisconnect: (fn: () => void) => () => void;
-  /** Whether the work may run again elsewhere, so that a silent agent need not be waited for. */
+  /** Whether the request may run again at another upstream; a silent agent is then not awaited. */
   mayRunElsewhere: boolean;
-  /** Tells routing how fast the upstream is. */
+  /** Reports the response times of the upstream to routing. */
   ticket: Pick<RouteTicket, 'started' | 'firstByte'>;
   timeouts: AttemptTimeouts;
   clock: Clock;
@@ -57,7 +57,7 @@
 
 const UNREACHABLE_RETRY_AFTER_MS = 1_000;
 
-/** Runs one attempt; never rejects. Frames that come after its end are dropped by the upstream. */
+/** Runs one attempt; never rejects. The upstream drops frames that arrive after its end. */
 export const runAttempt = async (options: AttemptOptions): Promise<AttemptOutcome> => {
   const { id, upstream, payload, response, ticket, timeouts, clock, metrics } = options;
   const record = createSentAttempt(id);
@@ -75,8 +75,8 @@
     : timeouts.reconnectMs;
 
   /**
-   * Bytes that wait for the caller stay within the credit. An agent that ignores it would fill this
-   * process's memory while a slow caller reads, so what exceeds it is dropped and the answer broken.
+   * Bytes waiting for the caller must stay within the credit. An agent that exceeded it would fill
+   * this process's memory behind a slow caller, so the excess is dropped and the attempt fails.
    */
   const push = (event: AttemptEvent): void => {
     if (event.t !== 'chunk') {
@@ -102,7 +102,7 @@
     if (instance) upstream.cancel(id, instance);
   };
 
-  /** The record alone says whether the attempt provably did not run. */
+  /** Ends the attempt; only its recorded events can prove that it did not run. */
   const closeWith = (
     event: RecordedEvent,
     reason: RefusalReason,
@@ -117,7 +117,7 @@
 
   const giveUp = (reason: RefusalReason): AttemptOutcome => closeWith({ kind: 'gave-up' }, reason);
 
-  /** An answer that breaks the link's rules is never passed off as whole. */
+  /** Fails an attempt whose response violates the protocol; it is never delivered as complete. */
   const failInvalid = (
     fault: string,
     reason: RefusalReason = 'upstream-broke-off',
@@ -139,7 +139,7 @@
 
   const handleTimeout = (): AttemptOutcome | undefined => {
     if (cancelled) return giveUp('answer-timeout');
-    // The agent may still find the attempt in its queue; the cancel leaves a tombstone either way.
+    // The attempt may still be queued at the agent; the cancel leaves a tombstone in any case.
     cancel();
     if (!linked) return giveUp('link-lost');
     restartTimer();
@@ -147,8 +147,8 @@
   };
 
   /**
-   * The same instance still knows the attempt, or puts a tombstone on an id that never reached it.
-   * Another instance has forgotten everything, so the outcome stays unknown.
+   * The same agent instance still knows the attempt, or records a tombstone for an id that never
+   * reached it. A new instance has no state of its predecessor, so the outcome stays unknown.
    */
   const handleLinkUp = (peerInstance: string): AttemptOutcome | undefined => {
     linked = true;
@@ -189,7 +189,7 @@
         record.apply({ kind: 'link-lost' });
         return undefined;
       case 'silent':
-        // A frozen agent would cost the caller its target; repeatable work goes elsewhere in time.
+        // Waiting for a frozen agent would miss the target, so a repeatable request is retried.
         return options.mayRunElsewhere ? failInvalid('agent-silent', 'link-lost') : undefined;
       case 'link-up':
         return handleLinkUp(event.instance);
--- a/packages/plantaindrum/src/core/attempts/types.ts
+++ b/packages/plantaindrum/src/core/attempts/types.ts
@@ -14,54 +14,56 @@
 /** Frames that belong to one attempt. */
 export type AttemptFrame = Started | Head | Chunk | End | NotRun | Unknown | InProgress;
 
-/** Everything that can happen to an open attempt. */
+/** Events of an open attempt. */
 export type AttemptEvent =
   | AttemptFrame
   | { t: 'link-lost' }
   | { t: 'link-up'; instance: string }
-  /** The link is up, but nothing has come from the agent for some time. */
+  /** The link is open, but the agent has sent nothing for some time. */
   | { t: 'silent' }
   | { t: 'caller-gone' }
   /** The agent sent more than its credit allows. */
   | { t: 'overrun' }
   | { t: 'timer' };
 
-/** What an entry sends in a dispatch; the attempt adds its id. */
+/** Content of a dispatch frame without the id, which the attempt adds. */
 export type DispatchPayload = Omit<Dispatch, 't' | 'id'>;
 
-/** How one attempt ended. `not-run` is proved; `unknown` may have run. */
+/** How an attempt ended. `not-run` is proved; with `unknown` the request may have run. */
 export type AttemptOutcome =
   | { outcome: 'answered' }
   | { outcome: 'not-run'; reason: RefusalReason; retryAfterMs: number }
   | { outcome: 'unknown'; reason: RefusalReason }
   | { outcome: 'caller-gone' };
 
-/** Where an attempt's answer goes. */
+/** Receives the response of an attempt. */
 export interface ResponseSink {
-  /** False when this head can't continue the answer that the caller already has a part of. */
+  /**
+   * False when this head can't continue the response that the caller has already received in part.
+   */
   head(status: number, headers: Record<string, string>): boolean;
-  /** Resolves once the caller has room for more; false when the bytes break the answer's order. */
+  /** Resolves when the caller can take more; false when the bytes don't continue the response. */
   write(data: Uint8Array): Promise<boolean>;
-  /** Ends the answer; false when it can't be whole. */
+  /** Ends the response; false when it is incomplete. */
   end(): boolean;
 }
 
-/** An attempt that an upstream's frames are delivered to. */
+/** Receives the frames of an attempt and the events of its link. */
 export interface OpenAttempt {
   push(event: AttemptEvent): void;
 }
 
-/** The side of an upstream that an attempt uses. */
+/** What an attempt uses of an upstream. */
 export interface AttemptUpstream {
-  /** Instance of the agent at the other end; undefined without a link. */
+  /** Instance id of the linked agent; undefined without a link. */
   instance(): string | undefined;
-  /** Takes frames of this id until the returned function is called. */
+  /** Delivers frames with this id to the attempt until the returned function is called. */
   open(id: Dispatch['id'], attempt: OpenAttempt): () => void;
-  /** Sends the work; false when nothing was sent. */
+  /** Sends the request; false when nothing was sent. */
   dispatch(frame: Dispatch): Promise<boolean>;
   query(id: Dispatch['id'], headReceived: boolean, received: number): boolean;
   credit(id: Dispatch['id'], bytes: number): void;
-  /** Cancels now, or as soon as the same agent instance is linked again. */
+  /** Cancels now, or as soon as the same agent instance reconnects. */
   cancel(id: Dispatch['id'], instance: string): void;
   load(): Load | undefined;
 }
--- a/packages/plantaindrum/src/core/callers/caller-response.ts
+++ b/packages/plantaindrum/src/core/callers/caller-response.ts
@@ -1,4 +1,4 @@
-/** One caller's answer, fed by one attempt after the other and written to the caller once. */
+/** The response to one caller, written from the responses of one or more attempts. */
 
 import type { ServerResponse } from 'node:http';
 import type { Clock, Metrics, Refusal } from '@plantaindrum/common';
@@ -9,31 +9,31 @@
 import { responseHeaders } from './headers.js';
 import { createDrainWait } from './drain-wait.js';
 
-/** Answers up to this many bytes are held until they are whole, so that a failure can be told. */
+/** Responses up to this size are buffered until complete, so that a failure becomes a refusal. */
 const MAX_BUFFERED_BYTES = 1_048_576;
 
-/** An answer as the entry sees it. */
+/** The response to one request of a caller. */
 export interface CallerResponse {
-  /** A sink for the next attempt; the one before is no longer used. */
+  /** Creates the sink of the next attempt; the previous sink must not be used any more. */
   createSink(): ResponseSink;
-  /** Whether the caller has got a part of an answer. */
+  /** Whether a part of a response has been sent to the caller. */
   hasStarted(): boolean;
-  /** Whether that part is a stream which another attempt can continue, and after which event. */
+  /** Id of the last event sent; undefined unless another attempt can resume the stream after it. */
   resumeAfter(): string | undefined;
-  /** Refuses, or breaks off what was begun; never a clean end. */
+  /** Sends the refusal, or aborts a response that has started; never ends it cleanly. */
   refuse(refusal: Refusal): void;
-  /** HTTP status of the upstream's answer, once known. */
+  /** HTTP status of the upstream's response, once known. */
   status(): number | undefined;
 }
 
-/** What an answer needs. */
+/** Options of a response to a caller. */
 export interface CallerResponseOptions {
   res: ServerResponse;
   clock: Clock;
   metrics: Metrics;
-  /** A stream must end in `[DONE]` (OpenAI completions). */
+  /** Whether a stream is complete only after `[DONE]` (OpenAI completions). */
   requiresDone: boolean;
-  /** Told of each event or first byte that went to the caller. */
+  /** Called after each event of a stream, or when the first byte is sent. */
   onSent: () => void;
 }
 
@@ -43,7 +43,7 @@
 const parseEventNumber = (id: string | undefined): number | undefined =>
   id !== undefined && /^\d+$/.test(id) ? Number(id) : undefined;
 
-/** Creates the answer to one request. */
+/** Creates the response to one request. */
 export const createCallerResponse = (options: CallerResponseOptions): CallerResponse => {
   const { res, clock, metrics, requiresDone, onSent } = options;
   const waitForDrain = createDrainWait(res, clock, metrics);
@@ -63,7 +63,7 @@
   const writeEvent = (event: ServerSentEvent, headers: Record<string, string>): boolean => {
     const eventNumber = parseEventNumber(event.id);
     const lastNumber = parseEventNumber(lastEventId);
-    // An upstream that resumed too early repeats events; one that resumed too late leaves a gap.
+    // An upstream that resumes too early repeats events; one that resumes too late leaves a gap.
     if (eventNumber !== undefined && lastNumber !== undefined) {
       if (eventNumber <= lastNumber) {
         metrics.count('events_repeated');
@@ -80,15 +80,15 @@
   };
 
   const streamSink = (headers: Record<string, string>): Pick<ResponseSink, 'write' | 'end'> => {
-    const splitter: EventStreamParser = createEventStreamParser();
+    const parser: EventStreamParser = createEventStreamParser();
     return {
       write: async (data) => {
-        const inOrder = splitter.push(data).every((event) => writeEvent(event, headers));
+        const inOrder = parser.push(data).every((event) => writeEvent(event, headers));
         await waitForDrain();
         return inOrder;
       },
       end: () => {
-        if (splitter.pendingBytes() > 0 || (requiresDone && !doneSeen)) return false;
+        if (parser.pendingBytes() > 0 || (requiresDone && !doneSeen)) return false;
         if (!res.headersSent) writeHead(headers);
         res.end();
         return true;
@@ -159,7 +159,7 @@
       res.destroy();
       return;
     }
-    // The caller must see a broken stream: the event says why, the missing end that it is no end.
+    // The event carries the reason; destroying the connection shows that the stream is incomplete.
     res.write(refusalEvent(refusal), () => res.destroy());
   };
 
--- a/packages/plantaindrum/src/core/callers/caller-server.ts
+++ b/packages/plantaindrum/src/core/callers/caller-server.ts
@@ -1,4 +1,4 @@
-/** The callers' door: HTTP in, one answer or refusal out for each request. */
+/** HTTP server of callers: each request ends in one response or refusal. */
 
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { createServer } from 'node:http';
@@ -14,12 +14,12 @@
 import { createRequestMetrics } from './request-metrics.js';
 import { waitUntilSent } from './drain-wait.js';
 
-/** What the callers' door needs. */
+/** Options of the caller server. */
 export interface CallerServerOptions {
   listen: EntrySettings['callers'];
   limits: EntrySettings['limits'];
   intent: Pick<IntentReader, 'current'>;
-  /** Why nothing new is taken now, if so. */
+  /** Why new requests are refused at the moment, if they are. */
   newRequestRefusal: () => Refusal | undefined;
   serve: ServeOptions;
   targets: Pick<ClassTargets, 'record'>;
@@ -27,21 +27,22 @@
   metrics: Metrics;
 }
 
-/** An open door. */
+/** A listening caller server. */
 export interface CallerServer {
   url: string;
-  /** Requests that have no whole answer yet. */
+  /** Requests whose response has not been sent completely. */
   inFlight(): number;
-  /** Takes no new connections and resolves when every request has ended. */
+  /** Stops listening and resolves when every request has ended. */
   drain(): Promise<void>;
-  /** Breaks off what is left. */
+  /** Closes all connections, including those with requests in flight. */
   close(): Promise<void>;
 }
 
-/** Time that a caller has to send its header, and its whole request, in milliseconds. */
+/** Time for a caller to send the header of a request. */
 const HEADERS_TIMEOUT_MS = 10_000;
+/** Time for a caller to send a whole request. */
 const REQUEST_TIMEOUT_MS = 60_000;
-/** Connections for each allowed one above which a new one is closed without an answer. */
+/** Connections above this multiple of the limit are closed without a refusal. */
 const DROP_CONNECTIONS_FACTOR = 2;
 
 const listen = (server: Server, { host, port }: { host: string; port: number }): Promise<string> =>
@@ -53,7 +54,7 @@
     });
   });
 
-/** A refusal as raw HTTP, for connections that have no request yet. */
+/** Formats a refusal as raw HTTP, for connections without a parsed request. */
 const formatRawRefusal = (refusal: Refusal): string => {
   const body = JSON.stringify(refusalBody(refusal));
   const headers = {
@@ -65,7 +66,7 @@
   return [`HTTP/1.1 ${refusalStatus(refusal)} Refused`, ...lines, '', body].join('\r\n');
 };
 
-/** Opens the callers' door; rejects when the address can't be listened on. */
+/** Starts the caller server; rejects when it cannot listen on the address. */
 export const createCallerServer = async (options: CallerServerOptions): Promise<CallerServer> => {
   const { limits, newRequestRefusal, clock, metrics } = options;
   const readRequest = createRequestReader(options);
@@ -125,7 +126,7 @@
     inFlight += 1;
     metrics.gauge('requests_in_flight', inFlight);
     await serve(req, res);
-    // Closing the door destroys connections; what is written and not yet sent would be lost.
+    // Closing the server destroys connections, which would lose data written but not yet sent.
     await waitUntilSent(res, clock, metrics);
     inFlight -= 1;
     metrics.gauge('requests_in_flight', inFlight);
@@ -141,8 +142,9 @@
     void serveAndCount(req, res);
   });
 
-  // Connections over the limit are told so in answer to their request: a refusal before it would
-  // be lost in the reset that its arrival at a closed socket causes. Far more are dropped unheard.
+  // A connection over the limit is refused after its request has been read: had the socket been
+  // closed before, the request's arrival would reset it and the refusal would be lost.
+  // Connections above `DROP_CONNECTIONS_FACTOR` times the limit are dropped without a refusal.
   server.maxConnections = limits.connections * DROP_CONNECTIONS_FACTOR;
   server.on('drop', () => countRefusal(tooManyConnections));
   let connections = 0;
--- a/packages/plantaindrum/src/core/callers/drain-wait.ts
+++ b/packages/plantaindrum/src/core/callers/drain-wait.ts
@@ -1,12 +1,13 @@
 import type { ServerResponse } from 'node:http';
 import type { Clock, Metrics } from '@plantaindrum/common';
 
-/** Time that a caller may leave an answer unread, in milliseconds. */
+/** Time after which a caller that reads none of its response is disconnected. */
 const STALLED_CALLER_TIMEOUT_MS = 60_000;
 
 /**
- * Creates the wait until the caller has room for more, or has gone. A caller that stops reading but
- * stays connected would hold its place at the engine for good, so its connection is ended.
+ * Creates a function that waits until the response can take more bytes or its connection closes. A
+ * caller that stops reading but stays connected would occupy its slot at the engine forever, so its
+ * connection is closed after `STALLED_CALLER_TIMEOUT_MS`.
  */
 export const createDrainWait =
   (res: ServerResponse, clock: Clock, metrics: Metrics): (() => Promise<void>) =>
@@ -30,7 +31,7 @@
       res.on('close', done);
     });
 
-/** Resolves when the whole answer has left this process, or its caller has gone or stalled. */
+/** Resolves when the response has been sent, or the caller has disconnected or stalled. */
 export const waitUntilSent = (res: ServerResponse, clock: Clock, metrics: Metrics): Promise<void> =>
   new Promise((resolve) => {
     if (res.closed) {
--- a/packages/plantaindrum/src/core/callers/event-stream-parser.ts
+++ b/packages/plantaindrum/src/core/callers/event-stream-parser.ts
@@ -1,8 +1,8 @@
-/** Splits server-sent events into whole events. */
+/** Parses a stream of server-sent events. */
 
 import { createEventCutter } from '@plantaindrum/common';
 
-/** One whole event with its blank line. */
+/** One complete event, including the blank line that ends it. */
 export interface ServerSentEvent {
   bytes: Buffer;
   /** Last `id` field of the event. */
@@ -11,10 +11,10 @@
   done: boolean;
 }
 
-/** Collects bytes and gives out whole events. */
+/** Collects bytes and returns complete events. */
 export interface EventStreamParser {
   push(data: Uint8Array): ServerSentEvent[];
-  /** Bytes of an event that is not whole yet. */
+  /** Number of buffered bytes of an incomplete event. */
   pendingBytes(): number;
 }
 
@@ -26,7 +26,7 @@
   return { bytes, done, ...(id !== undefined && { id }) };
 };
 
-/** Creates an empty splitter. */
+/** Creates a parser for one stream. */
 export const createEventStreamParser = (): EventStreamParser => {
   const cutter = createEventCutter();
   return {
--- a/packages/plantaindrum/src/core/callers/headers.ts
+++ b/packages/plantaindrum/src/core/callers/headers.ts
@@ -3,9 +3,10 @@
 
 const isNotForwarded = (name: string): boolean => isHopByHop(name) || isSetAnew(name);
 
+/** Fields with this prefix are set by entries only. */
 const RESERVED_PREFIX = 'x-plantaindrum-';
 
-/** Header fields that go on to the upstream; the caller's API key stays here. */
+/** Header fields of a request that are forwarded to the upstream; the API key is not. */
 export const forwardedHeaders = (headers: IncomingHttpHeaders): Record<string, string> =>
   Object.fromEntries(
     Object.entries(headers)
@@ -14,11 +15,11 @@
       .map(([name, value]) => [name, Array.isArray(value) ? value.join(', ') : (value ?? '')]),
   );
 
-/** Header fields of an upstream's answer that go on to the caller. */
+/** Header fields of an upstream's response that are forwarded to the caller. */
 export const responseHeaders = (headers: Record<string, string>): Record<string, string> =>
   Object.fromEntries(
     Object.entries(headers)
       .filter(([name]) => !isNotForwarded(name.toLowerCase()))
-      // Only this entry says what became of a request.
+      // Only this entry reports the outcome of a request.
       .filter(([name]) => !name.toLowerCase().startsWith(RESERVED_PREFIX)),
   );
--- a/packages/plantaindrum/src/core/callers/identify.ts
+++ b/packages/plantaindrum/src/core/callers/identify.ts
@@ -1,4 +1,4 @@
-/** Who calls, for what, and in which class: all by the intent in force. */
+/** Finds the organisation, route, class and target of a request by the intent in force. */
 
 import { createHash } from 'node:crypto';
 import type { IncomingHttpHeaders } from 'node:http';
@@ -9,19 +9,19 @@
 /** The path of OpenAI completions. */
 export const COMPLETIONS_PATH = '/v1/completions';
 
-/** What a request asks for. */
+/** The model or service that a request asks for. */
 export type RequestTarget =
   | { kind: 'model'; model: string; stream: boolean; prompt: string }
   | { kind: 'service'; service: string };
 
-/** The class of a request. */
+/** A class of the intent with its name. */
 export interface RequestClass extends ClassIntent {
   name: string;
 }
 
 const sha256 = (text: string): string => createHash('sha256').update(text).digest('hex');
 
-/** Finds organisations by API key; the table is made anew with each version of the intent. */
+/** Creates a lookup of organisations by API key; its index is rebuilt when the intent changes. */
 export const createOrganisationLookup = (): ((
   view: IntentView,
   headers: IncomingHttpHeaders,
@@ -45,14 +45,14 @@
   };
 };
 
-/** Whole segments only: a route to `/exports` must not catch `/exports-archive`. */
+/** Matches whole path segments: a route for `/exports` must not match `/exports-archive`. */
 const isUnderPrefix = (path: string, prefix: string): boolean => {
   if (!path.startsWith(prefix)) return false;
   const next = path[prefix.length];
   return prefix.endsWith('/') || next === undefined || next === '/' || next === '?';
 };
 
-/** The route with the longest prefix of the path. */
+/** Finds the route with the longest prefix that matches the path. */
 export const findRoute = (document: IntentDocument, path: string): RouteIntent | undefined =>
   Object.values(document.routes)
     .filter(({ pathPrefix }) => isUnderPrefix(path, pathPrefix))
@@ -61,13 +61,14 @@
 const headerText = (value: string | string[] | undefined): string | undefined =>
   Array.isArray(value) ? value[0] : value;
 
-/** The name comes from a caller: it must not find what an object has by its nature. */
+/** Callers choose the name, so it must not match an inherited property such as `constructor`. */
 const findDeclaredClass = (document: IntentDocument, name: string): ClassIntent | undefined =>
   Object.hasOwn(document.classes, name) ? document.classes[name] : undefined;
 
 /**
- * The class of a request: its header, else its route, else its organisation's default. A route to
- * calls that may not be repeated stays so in whatever class the caller names.
+ * Finds the class of a request: from its header, else its route, else the default of its
+ * organisation. When the class of the route says `mayNotRepeat`, the result does too, whatever
+ * class the caller names.
  */
 export const findClass = (
   document: IntentDocument,
@@ -99,7 +100,7 @@
   }
 };
 
-/** Reads the model's name and the wish for a stream from a completion request. */
+/** Parses the fields of a completion request that routing needs. */
 export const parseCompletion = (body: Buffer): Result<RequestTarget, Refusal> => {
   const document = parseJson(body);
   if (typeof document !== 'object' || document === null) return badRequest('the body is not JSON');
@@ -109,7 +110,7 @@
   if (stream !== undefined && typeof stream !== 'boolean') {
     return badRequest('"stream" is neither true nor false');
   }
-  // Prompts may be lists of texts or tokens; routing only needs them to differ as texts do.
+  // A prompt may be a list of texts or tokens; routing only needs a text that identifies it.
   const text = typeof prompt === 'string' ? prompt : JSON.stringify(prompt);
   return ok({ kind: 'model', model, stream: stream === true, prompt: text });
 };
--- a/packages/plantaindrum/src/core/callers/read-body.ts
+++ b/packages/plantaindrum/src/core/callers/read-body.ts
@@ -2,7 +2,10 @@
 import type { Refusal, Result } from '@plantaindrum/common';
 import { fail, ok } from '@plantaindrum/common';
 
-/** How many times the limit is read and thrown away, so that the caller gets to read the refusal. */
+/**
+ * Multiple of the limit that is read and discarded, so that the caller can finish sending and read
+ * the refusal, before the connection is destroyed.
+ */
 const DISCARD_LIMIT_FACTOR = 8;
 
 const tooLarge = (limit: number): Refusal => ({ reason: 'body-too-large', data: { limit } });
@@ -15,7 +18,7 @@
   });
 };
 
-/** Reads a request's body of at most `limit` bytes; undefined when the caller broke off. */
+/** Reads a request body of at most `limit` bytes; undefined when the caller disconnected. */
 export const readBody = async (
   req: IncomingMessage,
   limit: number,
--- a/packages/plantaindrum/src/core/callers/request-metrics.ts
+++ b/packages/plantaindrum/src/core/callers/request-metrics.ts
@@ -2,21 +2,23 @@
 import type { EntryRequest, RequestEnd } from '../requests/types.js';
 import type { ClassTargets } from '../status/class-targets.js';
 
-/** Measures one request; the target of its class is its first byte or token. */
+/**
+ * Measures one request; it meets the target of its class when its first byte or token is in time.
+ */
 export interface RequestMetrics {
-  /** A part of the answer went to the caller. */
+  /** A part of the response was sent to the caller. */
   recordSent(): void;
   recordEnd(end: RequestEnd): void;
 }
 
-/** Where the figures go. */
+/** Destinations of the measurements. */
 export interface RequestMetricsOptions {
   targets: Pick<ClassTargets, 'record'>;
   clock: Clock;
   metrics: Metrics;
 }
 
-/** Creates the measure of one request. */
+/** Creates the metrics of one request. */
 export const createRequestMetrics = (
   { arrivedAt, class: requestClass, organisation }: EntryRequest,
   { targets, clock, metrics }: RequestMetricsOptions,
--- a/packages/plantaindrum/src/core/callers/request-reader.ts
+++ b/packages/plantaindrum/src/core/callers/request-reader.ts
@@ -1,4 +1,4 @@
-/** Reads a request from the callers' door and finds out whose it is and what it asks for. */
+/** Reads HTTP requests of callers and resolves their organisation, class and target. */
 
 import type { IncomingMessage } from 'node:http';
 import type { Clock, EntrySettings, Refusal, Result } from '@plantaindrum/common';
@@ -16,14 +16,14 @@
 } from './identify.js';
 import { readBody } from './read-body.js';
 
-/** What reading requests needs. */
+/** Options of the request reader. */
 export interface RequestReaderOptions {
   limits: Pick<EntrySettings['limits'], 'bodyBytes'>;
   intent: Pick<IntentReader, 'current'>;
   clock: Clock;
 }
 
-/** Reads one request; undefined when its caller broke off. */
+/** Reads one request; undefined when its caller disconnected. */
 export type ReadRequest = (
   req: IncomingMessage,
 ) => Promise<Result<EntryRequest, Refusal> | undefined>;
@@ -33,7 +33,7 @@
 const badRequest = (detail: string): { ok: false; err: Refusal } =>
   fail({ reason: 'bad-request', data: { detail } });
 
-/** Completions need no route; everything else has to match one. */
+/** Completions need no route; every other path must match one. */
 const resolveRoute = (
   document: IntentDocument,
   method: string,
@@ -63,7 +63,7 @@
   return ok(key);
 };
 
-/** Creates the reader of one door. */
+/** Creates the request reader of one server. */
 export const createRequestReader = (options: RequestReaderOptions): ReadRequest => {
   const { limits, intent, clock } = options;
   const findOrganisation = createOrganisationLookup();
--- a/packages/plantaindrum/src/core/entry/deps.ts
+++ b/packages/plantaindrum/src/core/entry/deps.ts
@@ -1,6 +1,6 @@
 import type { Clock, Logger, Metrics, Random } from '@plantaindrum/common';
 
-/** What an entry needs from its process. */
+/** Process-wide dependencies of an entry. */
 export interface EntryDeps {
   clock: Clock;
   random: Random;
--- a/packages/plantaindrum/src/core/entry/entry-intent.ts
+++ b/packages/plantaindrum/src/core/entry/entry-intent.ts
@@ -1,4 +1,4 @@
-/** The operators' intent at this entry: read, passed on to peers, and kept in checkpoints. */
+/** The operators' intent at this entry: followed, served to peers and saved in checkpoints. */
 
 import type { EntrySettings } from '@plantaindrum/common';
 import type { IntentLinks, IntentNode } from '@plantaindrum/intent';
@@ -6,14 +6,14 @@
 import { createLogClient } from '@plantaindrum/service-clients';
 import type { EntryDeps } from './deps.js';
 
-/** The intent and what belongs to it. */
+/** The intent reader of an entry with its link handlers. */
 export interface EntryIntent {
   intent: IntentNode;
   links: IntentLinks;
   close(): Promise<void>;
 }
 
-/** Starts to follow the intent. */
+/** Starts following the intent and writing checkpoints. */
 export const startEntryIntent = (settings: EntrySettings, deps: EntryDeps): EntryIntent => {
   const { clock, random, metrics } = deps;
   const { node, platform } = settings;
--- a/packages/plantaindrum/src/core/entry/entry-upstreams.ts
+++ b/packages/plantaindrum/src/core/entry/entry-upstreams.ts
@@ -1,4 +1,4 @@
-/** The upstreams of this entry: the VM list, the links to agents, and routing among them. */
+/** The upstreams of this entry: VM list, links to agents, and routing. */
 
 import type { Logger } from '@plantaindrum/common';
 import { sleep } from '@plantaindrum/common';
@@ -14,15 +14,17 @@
 import type { EntryLinksOptions } from './links.js';
 import { createConnectAgent } from './links.js';
 
-/** The upstreams, and routing among them. */
+/** Upstreams of an entry with their router. */
 export interface EntryUpstreams {
   router: EntryRouter;
   directory: UpstreamDirectory;
   /** The open link to a VM, if there is one. */
   linkTo(vm: Vm): Link | undefined;
-  /** Resolves when the list has been read for the first time; it is followed until `close`. */
+  /**
+   * Resolves after the first successful read of the VM list, which is then polled until `close`.
+   */
   start(): Promise<void>;
-  /** Resolves when every live upstream is linked; a dead one does not hold it up for long. */
+  /** Resolves when every upstream that is not leaving is linked, or after a timeout. */
   waitForInitialLinks(): Promise<void>;
   close(): Promise<void>;
 }
@@ -33,7 +35,7 @@
 const INITIAL_LINKS_TIMEOUT_MS = 2_000;
 const LINK_POLL_MS = 25;
 
-/** Creates the upstreams of an entry; nothing is read or dialled before `start`. */
+/** Creates the upstreams of an entry; nothing is read or connected before `start`. */
 export const createEntryUpstreams = (
   links: EntryLinksOptions,
   intent: Pick<IntentReader, 'current' | 'onChange'>,
@@ -76,8 +78,8 @@
   };
 
   /**
-   * Reads the list until it answers. Without one an entry knows no upstream: reported ready, it
-   * would draw callers from the entries that serve and refuse each of them.
+   * Retries until the VM list has been read. Without it an entry knows no upstream; were it ready,
+   * it would attract callers that other entries could serve, and refuse them all.
    */
   const readInitialList = async (): Promise<void> => {
     while (!(await createdDirectory.refresh())) await sleep(clock, INITIAL_LIST_RETRY_DELAY_MS);
--- a/packages/plantaindrum/src/core/entry/entry.ts
+++ b/packages/plantaindrum/src/core/entry/entry.ts
@@ -1,4 +1,4 @@
-/** An entry process: doors, links, intent and the requests that run between them. */
+/** Assembles an entry: HTTP servers, links, intent and routing. */
 
 import { randomUUID } from 'node:crypto';
 import type { EntrySettings } from '@plantaindrum/common';
@@ -22,20 +22,21 @@
 import { createReadiness } from './readiness.js';
 import { createEntryUpstreams } from './entry-upstreams.js';
 
-/** A running entry. */
+/** A running entry and the addresses of its servers. */
 export interface Entry {
   callers: string;
   operators: string;
   link: string;
-  /** Resolves when the entry serves: its intent is read and its first links are up. */
+  /** Resolves when the entry serves: its intent has been read and its initial links are open. */
   ready: Promise<void>;
   isReady(): boolean;
-  /** Fails readiness, lets every request end, then closes. */
+  /** Fails readiness, waits for every request to end, then closes. */
   drain(): Promise<void>;
-  /** Closes at once; what is in flight breaks off. */
+  /** Closes at once; requests in flight are aborted. */
   close(): Promise<void>;
 }
 
+/** Time between failing readiness and refusing requests; see `ReadinessOptions`. */
 const DRAIN_NOTICE_MS = 1_000;
 
 const discardFrame: FrameHandler = () => {};
@@ -60,7 +61,7 @@
   };
 };
 
-/** Starts an entry; rejects when an address can't be listened on. */
+/** Starts an entry; rejects when it cannot listen on one of its addresses. */
 export const startEntry = async (settings: EntrySettings, deps: EntryDeps): Promise<Entry> => {
   const { clock, random, metrics, log } = deps;
   const { node, limits } = settings;
--- a/packages/plantaindrum/src/core/entry/links.ts
+++ b/packages/plantaindrum/src/core/entry/links.ts
@@ -1,4 +1,4 @@
-/** This entry's links: to agents, and from peers that ask it something. */
+/** Links of this entry: to agents, and from peers that call it. */
 
 import type { Clock, EntrySettings, Logger, Metrics, Random } from '@plantaindrum/common';
 import type { IntentLinks } from '@plantaindrum/intent';
@@ -7,7 +7,7 @@
 import type { Vm } from '@plantaindrum/service-clients';
 import type { ConnectAgent } from '../upstreams/directory.js';
 
-/** What links need. */
+/** Options of the links of an entry. */
 export interface EntryLinksOptions {
   settings: EntrySettings;
   instance: string;
@@ -19,7 +19,7 @@
   log: Logger;
 }
 
-/** Options of every link of this entry. */
+/** Creates the options that all links of this entry share. */
 export const createLinkOptions = (options: EntryLinksOptions): Omit<LinkOptions, 'onLink'> => {
   const { settings, instance, intent, handlers, clock, metrics, log } = options;
   const { name, dataCentre, region } = settings.node;
@@ -36,13 +36,13 @@
   };
 };
 
-/** The link address of a VM of the list. */
+/** Parses the link address of a VM. */
 export const parseLinkAddress = ({ address }: Vm): { host: string; port: number } => {
   const separator = address.lastIndexOf(':');
   return { host: address.slice(0, separator), port: Number(address.slice(separator + 1)) };
 };
 
-/** Dials agents at the link addresses of the platform's list. */
+/** Creates the function that connects to agents at the addresses of the VM list. */
 export const createConnectAgent = (options: EntryLinksOptions): ConnectAgent => {
   const shared = createLinkOptions(options);
   return (vm, onLink: (link: Link) => FrameHandler) =>
--- a/packages/plantaindrum/src/core/entry/node-reports.ts
+++ b/packages/plantaindrum/src/core/entry/node-reports.ts
@@ -1,9 +1,9 @@
-/** What other nodes tell about themselves: work in flight, intent, expert group. */
+/** Collects reports of nodes: requests in flight, intent offset, expert group. */
 
 import type { NodeStatus } from '@plantaindrum/link';
 import type { Vm } from '@plantaindrum/service-clients';
 
-/** One node's report; without its figures when it did not answer. */
+/** Report of one node; the optional fields are missing when it did not answer. */
 export interface NodeReport {
   node: string;
   role: 'entry' | 'agent';
@@ -14,15 +14,15 @@
   group?: unknown;
 }
 
-/** Asks nodes for their reports. */
+/** Options of the report collector. */
 export interface ReportCollectorOptions {
   local: { name: string; dataCentre: string; status: () => NodeStatus };
   vms: () => readonly Vm[];
-  /** Asks one node; undefined when it does not answer in time. */
+  /** Fetches the status of a node; undefined when it does not answer in time. */
   fetchNodeStatus: (vm: Vm) => Promise<NodeStatus | undefined>;
 }
 
-/** Asks the nodes of one data centre, or all that this entry knows. */
+/** Collects the reports of one data centre, or of all nodes that this entry knows. */
 export type CollectReports = (dataCentre: string | undefined) => Promise<NodeReport[]>;
 
 const toReportFields = (status: NodeStatus | undefined): Partial<NodeReport> => {
@@ -31,7 +31,7 @@
   return { inFlight, intentOffset: intent.offset, ...(group !== undefined && { group }) };
 };
 
-/** Creates the question to many nodes; those that don't answer are listed without figures. */
+/** Creates the report collector; nodes that don't answer are listed without their status. */
 export const createReportCollector = ({
   local,
   vms,
--- a/packages/plantaindrum/src/core/entry/node-status-fetcher.ts
+++ b/packages/plantaindrum/src/core/entry/node-status-fetcher.ts
@@ -1,4 +1,4 @@
-/** Asks another node for its status, over a link that is there or one made for the question. */
+/** Fetches the status of another node, over the open link or a temporary one. */
 
 import type { Clock, Random } from '@plantaindrum/common';
 import type { CallOutcome, Link, LinkOptions, NodeStatus } from '@plantaindrum/link';
@@ -6,7 +6,7 @@
 import type { Vm } from '@plantaindrum/service-clients';
 import { parseLinkAddress } from './links.js';
 
-/** What asking needs. */
+/** Options of the status fetcher. */
 export interface NodeStatusFetcherOptions {
   shared: Omit<LinkOptions, 'onLink'>;
   /** The open link to a node, if there is one. */
@@ -15,6 +15,7 @@
   random: Random;
 }
 
+/** Limit for opening the link, and again for the call. */
 const FETCH_TIMEOUT_MS = 2_000;
 
 const isNodeStatus = (value: unknown): value is NodeStatus => {
@@ -28,7 +29,7 @@
 const fetchOverLink = async (link: Link): Promise<NodeStatus | undefined> =>
   parseNodeStatus(await link.call(NODE_STATUS, {}, FETCH_TIMEOUT_MS));
 
-/** Creates the question to one node; undefined when it does not answer in time. */
+/** Creates a function that fetches the status of a node; undefined without an answer in time. */
 export const createNodeStatusFetcher = (options: NodeStatusFetcherOptions) => {
   const { shared, linkTo, clock, random } = options;
 
--- a/packages/plantaindrum/src/core/entry/readiness.ts
+++ b/packages/plantaindrum/src/core/entry/readiness.ts
@@ -1,17 +1,17 @@
-/** When this entry takes work, and what it tells the balancer in front of it. */
+/** Whether this entry accepts requests, and what its readiness probe reports. */
 
 import type { Clock, Logger, Refusal } from '@plantaindrum/common';
 import type { IntentReader } from '@plantaindrum/intent';
 import { isStopped } from '@plantaindrum/intent';
 
-/** Phases of an entry's life. */
+/** Lifecycle phases of an entry. */
 export type Phase = 'starting' | 'serving' | 'draining';
 
-/** Readiness of one entry. */
+/** Readiness state of an entry. */
 export interface Readiness {
   phase(): Phase;
   started(): void;
-  /** This VM is going: readiness fails from now on. */
+  /** The VM is being removed: readiness fails from now on. */
   drain(): void;
   /** Why `GET /ready` fails, if it does. */
   unready(): Refusal | undefined;
@@ -19,22 +19,22 @@
   newRequestRefusal(): Refusal | undefined;
 }
 
-/** What readiness depends on. */
+/** Options of the readiness state. */
 export interface ReadinessOptions {
   dataCentre: string;
   intent: Pick<IntentReader, 'current' | 'freshness' | 'onChange'>;
   clock: Clock;
   log: Logger;
   /**
-   * Time between failing readiness and refusing requests, in milliseconds: the balancer in front
-   * needs a few probes to notice, and until then sends requests that must still be served.
+   * Time between failing readiness and refusing requests, in milliseconds. The load balancer in
+   * front needs a few probes to notice; requests that it sends until then must still be served.
    */
   noticeMs: number;
 }
 
 const notReady = (detail: string): Refusal => ({ reason: 'not-ready', data: { detail } });
 
-/** Creates the readiness of an entry that is starting. */
+/** Creates the readiness state of an entry that is starting. */
 export const createReadiness = (options: ReadinessOptions): Readiness => {
   const { dataCentre, intent, clock, log, noticeMs } = options;
   let phase: Phase = 'starting';
@@ -51,7 +51,7 @@
     stopped = isStoppedNow;
     if (stopped) startNotice();
     else if (phase !== 'draining') refuseFromMs = Infinity;
-    log.info(`data centre ${dataCentre} ${stopped ? 'is stopping' : 'serves again'}`);
+    log.info(`data centre ${dataCentre} ${stopped ? 'is stopping' : 'is serving again'}`);
   };
 
   const currentRefusal = (): Refusal | undefined => {
@@ -63,9 +63,10 @@
   };
 
   /**
-   * An entry that hears neither the log nor a peer can't tell whether operators have changed the
-   * intent. It asks the balancer to prefer others, and serves on whoever still comes: with no agent
-   * in reach it can hardly serve a call by old intent, and a refusal would help nobody.
+   * An entry that reaches neither the log nor a peer can't tell whether the intent has changed. It
+   * fails the probe so that the load balancer prefers other entries, but serves requests that still
+   * arrive: with no agent in reach it can hardly serve one under an outdated intent, and refusing
+   * would gain nothing.
    */
   const unready = (): Refusal | undefined => {
     const refusal = currentRefusal();
--- a/packages/plantaindrum/src/core/operators/operator-server.ts
+++ b/packages/plantaindrum/src/core/operators/operator-server.ts
@@ -1,4 +1,4 @@
-/** The operators' door: readiness, metrics, status and intent. */
+/** HTTP server of operators: readiness, metrics, status and intent. */
 
 import { createHash, timingSafeEqual } from 'node:crypto';
 import type { IncomingMessage, ServerResponse } from 'node:http';
@@ -11,20 +11,20 @@
 import { readBody } from '../callers/read-body.js';
 import { parseSubmission } from './submission.js';
 
-/** What the operators' door needs. */
+/** Options of the operator server. */
 export interface OperatorServerOptions {
   listen: EntrySettings['operators'];
   limits: EntrySettings['limits'];
   intent: IntentReader;
-  /** Why the node takes no new work, if so. */
+  /** Why the node is not ready, if so. */
   unready: () => Refusal | undefined;
   status: () => unknown;
-  /** What nodes tell about themselves. */
+  /** Collects the reports of nodes. */
   reports: CollectReports;
   metrics: Metrics;
 }
 
-/** An open door. */
+/** A listening operator server. */
 export interface OperatorServer {
   url: string;
   close(): Promise<void>;
@@ -44,7 +44,7 @@
   res.end(`${JSON.stringify(value)}\n`);
 };
 
-/** Opens the operators' door; rejects when the address can't be listened on. */
+/** Starts the operator server; rejects when it cannot listen on the address. */
 export const createOperatorServer = async (
   options: OperatorServerOptions,
 ): Promise<OperatorServer> => {
--- a/packages/plantaindrum/src/core/operators/submission.ts
+++ b/packages/plantaindrum/src/core/operators/submission.ts
@@ -33,7 +33,7 @@
   }
 };
 
-/** Parses the body of `POST /intent`; the faults are texts for the operator. */
+/** Parses the body of `POST /intent`; faults are messages for the operator. */
 export const parseSubmission = (body: Buffer): Result<IntentSubmission, string[]> => {
   const parsed = submissionSchema.safeParse(parseJson(body));
   if (!parsed.success) {
--- a/packages/plantaindrum/src/core/requests/dispatch-payload.ts
+++ b/packages/plantaindrum/src/core/requests/dispatch-payload.ts
@@ -3,7 +3,7 @@
 import type { DispatchPayload } from '../attempts/types.js';
 import type { EntryRequest } from './types.js';
 
-/** Facts of a request that refusals name. */
+/** Data of a request that refusals include. */
 export const refusalData = ({ class: { name }, target }: EntryRequest): ErrorData => ({
   class: name,
   upstream: target.kind === 'model' ? target.model : target.service,
@@ -18,7 +18,7 @@
   return { idempotency: { key: idempotencyKey, bodyHash } };
 };
 
-/** What an agent is sent; `budgetMs` is the time left until the class's target. */
+/** Creates the content of a dispatch; `budgetMs` is the time left until the class's target. */
 export const createDispatchPayload = (
   request: EntryRequest,
   budgetMs: number,
--- a/packages/plantaindrum/src/core/requests/serve-request.ts
+++ b/packages/plantaindrum/src/core/requests/serve-request.ts
@@ -1,4 +1,4 @@
-/** One request, over as many attempts as its class, its deadline and the retry budget allow. */
+/** Serves one request with as many attempts as its class, deadline and the retry budget allow. */
 
 import type { Clock, Metrics, Refusal } from '@plantaindrum/common';
 import type { AttemptId } from '@plantaindrum/link';
@@ -11,9 +11,9 @@
 import type { EntryRequest, RequestEnd } from './types.js';
 import { refusalData, createDispatchPayload } from './dispatch-payload.js';
 
-/** What serving requests needs. */
+/** Options for serving requests. */
 export interface ServeOptions {
-  /** Chooses an upstream; those tried, by name, are left out. */
+  /** Selects an upstream, leaving out those named in `triedUpstreams`. */
   selectUpstream: (
     request: EntryRequest,
     triedUpstreams: ReadonlySet<string>,
@@ -25,10 +25,13 @@
   metrics: Metrics;
 }
 
-/** Tells of the caller's end; the returned function ends that. */
+/** Calls `fn` when the caller disconnects; the returned function unsubscribes. */
 export type OnCallerDisconnect = (fn: () => void) => () => void;
 
-/** An answer that is not a stream may be silent for this many times its class's target. */
+/**
+ * A response that is not streamed may take this multiple of its class's target before it counts as
+ * silent.
+ */
 const SILENCE_TARGET_FACTOR = 3;
 
 type FailedOutcome = Extract<AttemptOutcome, { reason: unknown }>;
@@ -38,13 +41,13 @@
   ...(failed.outcome === 'not-run' && { retryAfterMs: failed.retryAfterMs }),
 });
 
-/** Failures that speak against the upstream, whatever the request was. */
+/** Failures that routing counts against the upstream, whatever the request was. */
 const UPSTREAM_FAILURES = ['upstream-refused', 'upstream-unreachable'];
 
 const isUpstreamFailure = (ended: AttemptOutcome): boolean =>
   'reason' in ended && UPSTREAM_FAILURES.includes(ended.reason);
 
-/** Serves one request to its end; the answer or refusal has been written when it resolves. */
+/** Serves one request; resolves when the response or refusal has been written. */
 export const serveRequest = async (
   request: EntryRequest,
   response: CallerResponse,
@@ -58,7 +61,7 @@
     ...timeouts,
     silenceMs: Math.max(timeouts.silenceMs, latestAnswerMs * SILENCE_TARGET_FACTOR),
   };
-  // A key is claimed once for all upstreams: a second dispatch could only lose against the first.
+  // The claim of an idempotency key covers all upstreams, so it would reject a second dispatch.
   const mayNotRepeat = request.class.mayNotRepeat || request.idempotencyKey !== undefined;
   let attemptCount = 0;
   let mayHaveRun = false;
@@ -70,7 +73,7 @@
     return { outcome: 'refused', refusal: fullRefusal };
   };
 
-  /** The target of a stream is its first token, so a resumed stream has its whole time again. */
+  /** The target covers the first token only, so a resumed stream gets the full time again. */
   const deadline = (): number =>
     (response.hasStarted() ? clock.monotonic() : request.arrivedAt) + latestAnswerMs;
 
@@ -98,7 +101,7 @@
     }
   };
 
-  /** Whether another attempt may be made; counted either way. */
+  /** Decides whether to retry, and counts the decision. */
   const mayRetry = (failed: FailedOutcome): boolean => {
     const resumeAfter = response.resumeAfter();
     const decision = retries.decide({
@@ -118,8 +121,8 @@
   let lastRefusal: Refusal | undefined;
 
   /**
-   * A link that broke under the dispatch says nothing against its upstream. Where no other is left,
-   * the caller would be refused although the same upstream, linked again, could serve.
+   * A dispatch that was lost with its link is no failure of the upstream. When no other upstream is
+   * left, those already tried are selected again, since they may have reconnected.
    */
   const selectAfterLostDispatch = (): SelectedUpstream | undefined =>
     lastRefusal?.reason === 'never-arrived' ? selectUpstream(request, new Set()) : undefined;
--- a/packages/plantaindrum/src/core/requests/types.ts
+++ b/packages/plantaindrum/src/core/requests/types.ts
@@ -1,7 +1,7 @@
 import type { Refusal } from '@plantaindrum/common';
 import type { RequestClass, RequestTarget } from '../callers/identify.js';
 
-/** A request that has an organisation, a class and a target. */
+/** A request with its organisation, class and target. */
 export interface EntryRequest {
   organisation: string;
   class: RequestClass;
@@ -11,7 +11,7 @@
   headers: Record<string, string>;
   body: Buffer;
   idempotencyKey?: string;
-  /** Clock's monotonic time of arrival, in milliseconds. */
+  /** Monotonic time of arrival, in milliseconds. */
   arrivedAt: number;
 }
 
--- a/packages/plantaindrum/src/core/routing/entry-router.ts
+++ b/packages/plantaindrum/src/core/routing/entry-router.ts
@@ -1,4 +1,4 @@
-/** Joins routing to the VM list, the links and the operators' intent of this entry. */
+/** Connects the router to the VM list, the links and the operators' intent of this entry. */
 
 import type { Clock, Logger, Metrics, Random } from '@plantaindrum/common';
 import type { IntentDocument } from '@plantaindrum/intent';
@@ -9,26 +9,26 @@
 import type { EntryRequest } from '../requests/types.js';
 import type { Upstream, UpstreamEventHandlers } from '../upstreams/upstream.js';
 
-/** A chosen upstream with the ticket that reports on the request there. */
+/** A selected upstream with the ticket that reports the progress of the request to the router. */
 export interface SelectedUpstream {
   upstream: Upstream;
   ticket: RouteTicket;
 }
 
-/** Routing of one entry. */
+/** Router of one entry. */
 export interface EntryRouter {
   selectUpstream(request: EntryRequest, tried: ReadonlySet<string>): SelectedUpstream | undefined;
-  /** Takes a list of VMs; the result says which upstreams this entry keeps links to. */
+  /** Applies a VM list; the result tells whether this entry keeps a link to an upstream. */
   applyVmList(vms: readonly Vm[]): (vm: Vm) => boolean;
-  /** To be called when the intent has changed: data centres stop and start. */
+  /** Applies stops and starts of data centres; to be called when the intent has changed. */
   handleIntentChange(): void;
   createEventHandlers(vm: Vm): UpstreamEventHandlers;
-  /** Ejects slow upstreams and lets them back; to be called about once a second. */
+  /** Ejects slow upstreams and readmits recovered ones; to be called about once a second. */
   reviewHealth(): void;
   status(): UpstreamStatus[];
 }
 
-/** What routing needs. */
+/** Options of the entry router. */
 export interface EntryRouterOptions {
   self: { name: string; dataCentre: string; region: string };
   upstreams: () => Upstream[];
@@ -39,20 +39,20 @@
   log: Logger;
 }
 
-/** Models and services have names of their own; one of each may be called the same. */
+/** Models and services have separate namespaces: a model and a service may share a name. */
 const vmTarget = ({ kind, model, service }: Vm): string =>
   kind === 'model' ? `model/${model ?? ''}` : `service/${service ?? ''}`;
 
 const requestTarget = ({ target }: EntryRequest): string =>
   target.kind === 'model' ? `model/${target.model}` : `service/${target.service}`;
 
-/** Creates the routing of one entry. */
+/** Creates the router of one entry. */
 export const createEntryRouter = (options: EntryRouterOptions): EntryRouter => {
   const { self, document, clock, random, metrics, log } = options;
   const { name: id, dataCentre, region } = self;
   const router = createRouter({ clock, random, self: { id, dataCentre, region } });
   const unlinked = new Set<string>();
-  const currentOwners = new Map<string, symbol>();
+  const linkOwners = new Map<string, symbol>();
   let vms: readonly Vm[] = [];
   const ramp = createReturnRamp({ clock, random });
 
@@ -73,7 +73,10 @@
     );
   };
 
-  /** A data centre that has just been started again gets only a part of the work at first. */
+  /**
+   * Upstreams of restarted data centres that the ramp does not admit: their traffic grows
+   * gradually.
+   */
   const heldBackUpstreams = (): string[] => {
     const names = new Set(Object.keys(document().dataCentres).filter((name) => !ramp.admits(name)));
     return names.size === 0
@@ -82,7 +85,7 @@
   };
 
   const forgetUpstream = (name: string): void => {
-    currentOwners.delete(name);
+    linkOwners.delete(name);
     unlinked.delete(name);
   };
 
@@ -102,7 +105,8 @@
       });
     const heldBack = heldBackUpstreams();
     const route = excluding(heldBack);
-    // Work that nobody else can take goes to the returning data centre whatever its share.
+    // A request that no other upstream can serve goes to a restarted data centre whatever its
+    // share.
     return route.upstream === undefined && heldBack.length > 0 ? excluding([]) : route;
   };
 
@@ -123,7 +127,7 @@
       updateRouter();
       const targets = new Set(upstreamVms().map(vmTarget));
       const kept = new Set([...targets].flatMap(router.subset));
-      [...currentOwners.keys()].filter((name) => !kept.has(name)).forEach(forgetUpstream);
+      [...linkOwners.keys()].filter((name) => !kept.has(name)).forEach(forgetUpstream);
       return (vm) => kept.has(vm.name);
     },
     handleIntentChange: () => {
@@ -131,13 +135,13 @@
       updateRouter();
     },
     createEventHandlers: ({ name }) => {
-      // A VM that comes back under its name at another address has a new link; what the old link
-      // still tells, above all its end, must not count against the new one.
+      // A VM that returns under the same name at another address has a new link. Events of the old
+      // link, above all its end, must not be applied to the new one.
       const owner = Symbol(name);
-      currentOwners.set(name, owner);
+      linkOwners.set(name, owner);
       unlinked.add(name);
       const ifCurrentOwner = (fn: () => void): void => {
-        if (currentOwners.get(name) === owner) fn();
+        if (linkOwners.get(name) === owner) fn();
       };
       return {
         load: (load) => ifCurrentOwner(() => router.load(name, load)),
@@ -153,7 +157,7 @@
     reviewHealth: () =>
       router.review().forEach(({ upstream, from, to, reason }) => {
         metrics.count('upstream_health', { to, reason });
-        log.info(`upstream ${upstream} goes from ${from} to ${to}: ${reason}`);
+        log.info(`upstream ${upstream} changed from ${from} to ${to}: ${reason}`);
       }),
     status: router.status,
   };
--- a/packages/plantaindrum/src/core/status/class-targets.ts
+++ b/packages/plantaindrum/src/core/status/class-targets.ts
@@ -1,30 +1,31 @@
-/** Whether each class meets its target, over the last minute. */
+/** Tracks whether each class has met its target over the last minute. */
 
 import type { Clock } from '@plantaindrum/common';
 import type { IntentDocument } from '@plantaindrum/intent';
 
-/** One class in `status`. */
+/** Status of one class. */
 export interface ClassStatus {
   name: string;
   latestAnswerMs: number;
-  /** The share to be served within the target. */
+  /** Fraction of requests that must be served within the target. */
   share: number;
-  /** Requests that ended in the last minute; callers who went away are left out. */
+  /** Requests that ended in the last minute, except those whose caller disconnected. */
   requests: number;
-  /** The share that was served within the target; undefined without requests. */
+  /** Fraction of requests that were served within the target; undefined without requests. */
   served: number | undefined;
   /** Whether the target is met; undefined without requests. */
   met: boolean | undefined;
 }
 
-/** Keeps count of targets. */
+/** Counts the requests of each class that met the target. */
 export interface ClassTargets {
-  /** A request has ended; `withinTarget` is false for refusals and late answers. */
+  /** Records the end of a request; `withinTarget` is false for refusals and late responses. */
   record(name: string, withinTarget: boolean): void;
   status(document: IntentDocument): ClassStatus[];
 }
 
 const BUCKET_MS = 5_000;
+/** Buckets of the sliding window: one minute. */
 const BUCKETS = 12;
 
 interface Bucket {
@@ -33,7 +34,7 @@
   withinTarget: number;
 }
 
-/** Creates counts of nothing. */
+/** Creates empty counts. */
 export const createClassTargets = (clock: Clock): ClassTargets => {
   const bucketsByClass = new Map<string, Bucket[]>();
 
--- a/packages/plantaindrum/src/core/status/entry-status.ts
+++ b/packages/plantaindrum/src/core/status/entry-status.ts
@@ -1,4 +1,4 @@
-/** What this entry tells operators. */
+/** The status document of an entry. */
 
 import type { EntrySettings, Metrics, Refusal } from '@plantaindrum/common';
 import type { IntentFreshness, IntentReader, NodeDuty } from '@plantaindrum/intent';
@@ -16,9 +16,11 @@
   group?: string;
   linked: boolean;
   leaving: boolean;
-  /** Whether it is in full service, ejected for being slow or silent, or coming back. */
+  /**
+   * Health by the router: in full service, ejected for being slow or silent, or being readmitted.
+   */
   health: string;
-  /** Requests of this entry that are open there. */
+  /** Requests of this entry in flight at the upstream. */
   outstanding: number;
   queued?: number;
   running?: number;
@@ -46,7 +48,7 @@
   ready: boolean;
   /** Why it is not ready. */
   reason?: string;
-  /** What the state of its data centre asks of it. */
+  /** What the state of its data centre requires of the node. */
   duty: NodeDuty;
   inFlight: number;
   intent: { offset: number; freshness: IntentFreshness };
@@ -57,7 +59,7 @@
   groups: GroupSummary[];
 }
 
-/** What a status is made from. */
+/** Sources of the status document. */
 export interface EntryStatusOptions {
   node: EntrySettings['node'];
   instance: string;
@@ -67,9 +69,9 @@
   targets: ClassTargets;
   metrics: Metrics;
   inFlight: () => number;
-  /** This VM is going. */
+  /** Whether the VM is being removed. */
   leaving: () => boolean;
-  /** Why the node takes no new work, if so. */
+  /** Why the node is not ready, if so. */
   unready: () => Refusal | undefined;
 }
 
@@ -120,7 +122,7 @@
   }));
 };
 
-/** Makes the document of `GET /status`. */
+/** Creates the document of `GET /status`. */
 export const createEntryStatus = (options: EntryStatusOptions): EntryStatus => {
   const { node, instance, intent, directory, router, targets, metrics, inFlight, unready } =
     options;
--- a/packages/plantaindrum/src/core/upstreams/directory.ts
+++ b/packages/plantaindrum/src/core/upstreams/directory.ts
@@ -1,4 +1,4 @@
-/** The upstreams that this entry knows, from the platform's lagging list and its own links. */
+/** The upstreams that this entry knows, from the platform's VM list, which lags, and its links. */
 
 import type { Clock, Logger, Metrics, Random } from '@plantaindrum/common';
 import { createPause } from '@plantaindrum/common';
@@ -8,26 +8,26 @@
 import type { Upstream, UpstreamEventHandlers } from './upstream.js';
 import { createUpstream } from './upstream.js';
 
-/** Keeps a link to an agent; the result ends it. */
+/** Opens a link to an agent and keeps it connected until the result is closed. */
 export type ConnectAgent = (
   vm: Vm,
   onLink: (link: Link) => FrameHandler,
 ) => Pick<LinkClient, 'close'>;
 
-/** The upstreams known to this entry. */
+/** Directory of the upstreams of an entry. */
 export interface UpstreamDirectory {
-  /** Every upstream of the list that this entry keeps a link to, whether it is up or not. */
+  /** Every listed upstream that this entry keeps a link to, whether or not the link is open. */
   upstreams(): Upstream[];
-  /** Every VM of the last list, entries included. */
+  /** Every VM of the current list, including entries. */
   vms(): Vm[];
-  /** Reads the list once; false when it did not answer. */
+  /** Reads the VM list once; false when the read failed. */
   refresh(): Promise<boolean>;
-  /** Reads the list until `close`. */
+  /** Polls the VM list until `close`. */
   run(): Promise<void>;
   close(): Promise<void>;
 }
 
-/** What a directory needs. */
+/** Options of the upstream directory. */
 export interface UpstreamDirectoryOptions {
   list: Pick<VmListClient, 'list'>;
   connect: ConnectAgent;
@@ -35,11 +35,11 @@
   random: Random;
   metrics: Metrics;
   log: Logger;
-  /** Told of each list; the result says which upstreams of it this entry keeps links to. */
+  /** Called with each new list; the result tells whether this entry keeps a link to an upstream. */
   applyVmList: (vms: readonly Vm[]) => (vm: Vm) => boolean;
-  /** Takes what the link of one upstream tells. */
+  /** Creates the handlers for the events of one upstream. */
   createEventHandlers: (vm: Vm) => UpstreamEventHandlers;
-  /** Time between two reads of the list, in milliseconds. */
+  /** Mean time between two reads of the list, in milliseconds. */
   intervalMs: number;
 }
 
@@ -48,12 +48,12 @@
   client: Pick<LinkClient, 'close'>;
 }
 
-/** Hellos that an agent takes in beside its work without making requests wait. */
+/** New links that an agent can accept per second without delaying requests. */
 const AGENT_ACCEPTS_PER_SECOND = 200;
 
 const vmKey = (vm: Vm): string => `${vm.name}@${vm.address}`;
 
-/** Creates a directory that knows nobody yet. */
+/** Creates an empty directory. */
 export const createUpstreamDirectory = (options: UpstreamDirectoryOptions): UpstreamDirectory => {
   const { list, connect, clock, random, metrics, log, intervalMs } = options;
   const pause = createPause(clock);
@@ -65,7 +65,10 @@
   let listReachable = true;
   let stopped = false;
 
-  /** When a whole data centre appears in the list, every entry would dial each of its agents at once. */
+  /**
+   * Spreads new links over time: when a data centre appears in the list, all entries would
+   * otherwise connect to each of its agents at once.
+   */
   const connectAfterDelay: ConnectAgent = (vm, onLink) => {
     const dialers = vms.filter(({ role }) => role === 'entry').length;
     const delayMs = dialDelayMs({ dialers, acceptsPerSecond: AGENT_ACCEPTS_PER_SECOND, random });
@@ -91,16 +94,16 @@
       return upstream.onLink(link);
     };
     listed.set(vmKey(vm), { upstream, client: connectAfterDelay(vm, onLink) });
-    log.info(`upstream ${vm.name} at ${vm.address} appeared`);
+    log.info(`upstream ${vm.name} at ${vm.address} added`);
   };
 
   const removeUpstream = (key: string, entry: ListedUpstream): void => {
     listed.delete(key);
     removed.add(entry);
-    log.info(`upstream ${entry.upstream.vm().name} left the list`);
+    log.info(`upstream ${entry.upstream.vm().name} removed`);
   };
 
-  /** A VM that the list forgot may still be answering: its link ends after its last attempt. */
+  /** A removed VM may still be serving: its link is closed after its last attempt has ended. */
   const closeIdleRemoved = (): void => {
     [...removed]
       .filter(({ upstream }) => upstream.outstanding() === 0)
@@ -110,7 +113,7 @@
       });
   };
 
-  const applyVms = (next: Vm[]): void => {
+  const applyList = (next: Vm[]): void => {
     vms = next;
     const isWanted = options.applyVmList(next);
     const wanted = new Map(
@@ -127,14 +130,14 @@
     closeIdleRemoved();
   };
 
-  /** The list as far as the links don't contradict it: it lags, and may have lost its records. */
+  /** Keeps linked VMs that are missing from the list: it lags, and may have lost records. */
   const reconcileWithLinks = (next: Vm[]): Vm[] => {
     membership.listed(next.filter(({ role }) => role === 'upstream'));
     const upstreams = membership.members().filter(({ standing }) => standing !== 'forgotten');
     return [...next.filter(({ role }) => role === 'entry'), ...upstreams.map(({ vm }) => vm)];
   };
 
-  /** Nothing follows from a list that was read before, unless a VM missing from it is waited for. */
+  /** An unchanged list needs no work, unless the removal of a missing VM is still pending. */
   const needsUpdate = (next: Vm[]): boolean => {
     if (next !== lastList) return true;
     const names = new Set(next.map(({ name }) => name));
@@ -148,10 +151,10 @@
       return;
     }
     lastList = next;
-    applyVms(reconcileWithLinks(next));
+    applyList(reconcileWithLinks(next));
   };
 
-  /** An outage of the list is no reason to drop upstreams that still answer. */
+  /** While the list is unreachable, the known upstreams are kept. */
   const refresh = async (): Promise<boolean> => {
     const result = await list.list();
     if (stopped) return true;
--- a/packages/plantaindrum/src/core/upstreams/upstream.ts
+++ b/packages/plantaindrum/src/core/upstreams/upstream.ts
@@ -1,41 +1,42 @@
-/** One upstream as this entry sees it: its agent's link, its load, and the attempts open there. */
+/** One upstream: the link to its agent, its last known load and its open attempts. */
 
 import type { Metrics } from '@plantaindrum/common';
 import type { AttemptId, FrameHandler, Link, Load, PeerFrame } from '@plantaindrum/link';
 import type { Vm } from '@plantaindrum/service-clients';
 import type { AttemptUpstream, OpenAttempt } from '../attempts/types.js';
 
+/** Cancels kept for an agent until it reconnects; further ones are dropped. */
 const MAX_PENDING_CANCELS = 1_024;
 
-/** Time between two looks at an upstream's silence, in milliseconds. */
+/** Time between two checks for silent upstreams. */
 export const SILENCE_CHECK_INTERVAL_MS = 200;
 
 /**
- * Ticks without any frame after which an agent counts as silent. Pongs come every 500 ms, so three
- * are usual; ticks are counted and not time, because a process that was itself frozen has read
- * nothing for long and must not blame its upstreams.
+ * Consecutive checks without any frame after which an agent counts as silent. Pongs arrive every
+ * 500 ms, so up to three are normal. Checks are counted instead of time: an entry that was itself
+ * frozen has read no frames for a while and must not count its upstreams as silent.
  */
-const MAX_QUIET_CHECKS = 5;
+const SILENT_AFTER_CHECKS = 5;
 
-const noEvents: UpstreamEventHandlers = { load: () => {}, leaving: () => {}, linked: () => {} };
+const noHandlers: UpstreamEventHandlers = { load: () => {}, leaving: () => {}, linked: () => {} };
 
-/** An upstream with its agent's link. */
+/** An upstream with the link to its agent. */
 export interface Upstream extends AttemptUpstream {
-  /** The VM as the platform's list last showed it. */
+  /** The VM as of the latest VM list. */
   vm(): Vm;
   setVm(vm: Vm): void;
   link(): Link | undefined;
-  /** Attempts of this entry that are open there. */
+  /** Number of open attempts of this entry at the upstream. */
   outstanding(): number;
-  /** The agent or the list says that no new work may go there. */
+  /** Whether the agent or the VM list says that the upstream takes no new requests. */
   leaving(): boolean;
-  /** To be called every `SILENCE_TICK_MS`: finds out whether the agent still says anything. */
+  /** Detects a silent agent; to be called every `SILENCE_CHECK_INTERVAL_MS`. */
   checkSilence(): void;
-  /** Takes each new link; the result takes its frames. */
+  /** Attaches a new link; the result handles its frames. */
   onLink(link: Link): FrameHandler;
 }
 
-/** What routing learns from an upstream's link. */
+/** Handlers by which routing follows the link of an upstream. */
 export interface UpstreamEventHandlers {
   load(load: Load): void;
   leaving(): void;
@@ -46,7 +47,7 @@
 export const createUpstream = (
   initialVm: Vm,
   metrics: Metrics,
-  events: UpstreamEventHandlers = noEvents,
+  handlers: UpstreamEventHandlers = noHandlers,
 ): Upstream => {
   let vm = initialVm;
   let link: Link | undefined;
@@ -61,23 +62,23 @@
   const applyLoad = (next: Load): void => {
     load = next;
     agentLeaving = next.leaving;
-    events.load(next);
+    handlers.load(next);
   };
 
   const resetSilence = (): void => {
     quietChecks = 0;
     if (!silent) return;
     silent = false;
-    events.linked(true);
+    handlers.linked(true);
   };
 
   const checkSilence = (): void => {
     if (!link || silent) return;
     quietChecks += 1;
-    if (quietChecks < MAX_QUIET_CHECKS) return;
+    if (quietChecks < SILENT_AFTER_CHECKS) return;
     silent = true;
     metrics.count('upstream_silent');
-    events.linked(false);
+    handlers.linked(false);
     attempts.forEach((attempt) => attempt.push({ t: 'silent' }));
   };
 
@@ -86,21 +87,21 @@
     if ('load' in frame && frame.load) applyLoad(frame.load);
     if (frame.t === 'leaving') {
       agentLeaving = true;
-      events.leaving();
+      handlers.leaving();
       return;
     }
     if (!('id' in frame) || frame.t === 'dispatch') return;
     if (frame.t === 'cancel' || frame.t === 'query' || frame.t === 'credit') return;
     const attempt = attempts.get(frame.id);
     if (attempt) attempt.push(frame);
-    // A late frame must not reach another request: ids are never used twice, so it ends here.
+    // Ids are never reused, so a late frame can belong to no other attempt and is dropped.
     else metrics.count('frames_for_closed_attempt', { frame: frame.t });
   };
 
   const handleLinkClosed = (closedLink: Link): void => {
     if (link !== closedLink) return;
     link = undefined;
-    events.linked(false);
+    handlers.linked(false);
     attempts.forEach((attempt) => attempt.push({ t: 'link-lost' }));
   };
 
@@ -118,7 +119,7 @@
     lastInstance = instance;
     quietChecks = 0;
     silent = false;
-    events.linked(true);
+    handlers.linked(true);
     void next.closed.then(() => handleLinkClosed(next));
     sendPendingCancels(next);
     attempts.forEach((attempt) => attempt.push({ t: 'link-up', instance }));
--- a/packages/plantaindrum/test/caller-server.test.ts
+++ b/packages/plantaindrum/test/caller-server.test.ts
@@ -6,7 +6,7 @@
 
 const prompt = JSON.stringify({ model: 'lot-writer', prompt: 'a car' });
 
-describe("callers' door", () => {
+describe('caller server', () => {
   let agent: FakeAgent;
   let site: TestSite;
 
@@ -26,7 +26,7 @@
     await agent.close();
   });
 
-  it('passes a completion and a call of a plain service through', async () => {
+  it('forwards completions and calls of a service', async () => {
     const completion = await site.call('/v1/completions', { body: prompt });
     const call = await site.call('/exports/7?all=1', { method: 'GET' });
     expect([completion.text, call.text]).to.deep.equal([
@@ -41,13 +41,13 @@
     expect(sent[0]?.headers).not.to.have.property('authorization');
   });
 
-  it('keeps a route to calls that may not be repeated so, whatever class the caller names', async () => {
+  it('keeps mayNotRepeat of a route whatever class the caller names', async () => {
     await site.call('/exports/8', { headers: { 'x-plantaindrum-class': 'live' } });
     const last = agent.frames.filter((frame) => frame.t === 'dispatch').at(-1);
     expect([last?.class, last?.mayNotRepeat]).to.deep.equal(['live', true]);
   });
 
-  it('knows no class by the name of something every object has', async () => {
+  it('does not take an inherited property for a class', async () => {
     const headers = { 'x-plantaindrum-class': 'constructor' };
     const { status } = await site.call('/v1/completions', { headers, body: prompt });
     expect(status).to.equal(400);
--- a/packages/plantaindrum/test/cli.test.ts
+++ b/packages/plantaindrum/test/cli.test.ts
@@ -14,7 +14,9 @@
   let folder: string;
   let site: TestSite;
 
-  /** Runs a command; what differs from run to run is replaced by its name. */
+  /**
+   * Runs a command; paths and addresses, which differ between runs, are replaced by placeholders.
+   */
   const run = async (argv: string[], env: Record<string, string> = {}) => {
     const lines: string[] = [];
     const plain = (line: string): string =>
@@ -49,13 +51,13 @@
     rmSync(folder, { recursive: true });
   });
 
-  it('explains itself', async () => {
+  it('prints help and version', async () => {
     expect(await run(['--help'])).toMatchSnapshot();
     for (const command of COMMANDS) expect(await run([command, '--help'])).toMatchSnapshot();
     expect((await run(['--version'])).lines).to.match(/^\d+\.\d+\.\d+$/);
   });
 
-  it('says what is wrong and what to do', async () => {
+  it('prints errors with a hint', async () => {
     const faulty = write('faulty.jsonc', '{\n  "node": { "name": "e1" },\n  "callers": 5\n}');
     const broken = write('broken.jsonc', '{ "classes": ');
     const intent = write('intent.jsonc', { classes: { live: { latestAnswerMs: -1 } } });
@@ -75,7 +77,7 @@
     expect(await run(['data-centre', 'pause', 'kent'], login())).toMatchSnapshot();
   });
 
-  it('applies what a file changes, and leaves out what it does not name', async () => {
+  it('applies changed keys and keeps sections that the file leaves out', async () => {
     const classes = { live: { latestAnswerMs: 900 }, export: { latestAnswerMs: 5_000 } };
     const file = write('classes.jsonc', { classes });
     expect(await run(['apply', file, '--author', 'op'], login())).toMatchSnapshot();
@@ -83,7 +85,7 @@
     expect(await run(['show'], login())).toMatchSnapshot();
   });
 
-  it('shows what the node knows', () => {
+  it('formats the status of an entry', () => {
     const status: EntryStatus = {
       node: {
         name: 'kent-e1',
--- a/packages/plantaindrum/test/directory.test.ts
+++ b/packages/plantaindrum/test/directory.test.ts
@@ -6,7 +6,7 @@
 import type { UpstreamDirectory } from '../src/core/upstreams/directory.js';
 import { createUpstreamDirectory } from '../src/core/upstreams/directory.js';
 
-describe('directory of upstreams', () => {
+describe('upstream directory', () => {
   let clock: ManualClock;
   let metrics: Metrics;
   let list: Vm[];
@@ -45,9 +45,9 @@
 
   const names = (): string[] => directory.upstreams().map((upstream) => upstream.vm().name);
 
-  // The platform's list comes back empty after a fault of its own. Every agent still answers on its
-  // link; an entry that believed the list would refuse each caller with "no upstream".
-  it('goes on with its links when the list has lost most VMs at once', async () => {
+  // After a fault of the platform the VM list is empty, while every agent is still linked. An entry
+  // that trusted the list would refuse all requests with "no-upstream".
+  it('keeps linked upstreams when the list loses most VMs at once', async () => {
     list = [];
     await directory.refresh();
     await clock.advance(60_000);
@@ -56,7 +56,7 @@
     expect(metrics.counter('vm_list_not_believed')).to.equal(2);
   });
 
-  it('works nothing out again from a list that it has read before', async () => {
+  it('does no work for a list that has not changed', async () => {
     await directory.refresh();
     expect(metrics.counter('vm_list_unchanged')).to.equal(1);
     list = list.slice(1);
@@ -68,7 +68,7 @@
     expect(names()).to.deep.equal(['b', 'c']);
   });
 
-  it('drops a linked VM only when it has been missing for longer than one reading', async () => {
+  it('removes a linked VM only after it has been missing for longer than one read', async () => {
     list = list.slice(1);
     await directory.refresh();
     expect(names()).to.deep.equal(['a', 'b', 'c']);
@@ -77,9 +77,10 @@
     expect(names()).to.deep.equal(['b', 'c']);
   });
 
-  // A data centre appears in the list at one reading of all entries. Dials are spread over the time
-  // that an agent needs for the hellos of so many entries; a VM that goes again is never dialled.
-  it('spreads its dials when many entries would dial at once', async () => {
+  // All entries see a new data centre in the list at about the same time. They spread their new
+  // links
+  // over the time that an agent needs to accept so many; a VM removed meanwhile is never connected.
+  it('spreads new links over time when there are many entries', async () => {
     const entries = Array.from({ length: 400 }, (_, n): Vm => ({ ...vm(`e${n}`), role: 'entry' }));
     list = [...list, ...entries, vm('d'), vm('e')];
     await directory.refresh();
@@ -91,7 +92,7 @@
     expect([...endLink.keys()]).to.deep.equal(['a', 'b', 'c', 'd']);
   });
 
-  it('drops a VM at once when its link is down too', async () => {
+  it('removes a VM at once when its link is closed too', async () => {
     endLink.get('a')?.('closed-by-peer');
     await clock.advance(1);
     list = list.slice(1);
--- a/packages/plantaindrum/test/leaving.test.ts
+++ b/packages/plantaindrum/test/draining.test.ts
@@ -16,7 +16,7 @@
 const dispatches = ({ frames }: FakeAgent): Dispatch[] =>
   frames.filter((frame) => frame.t === 'dispatch');
 
-describe('leaving', () => {
+describe('draining', () => {
   const open: { close(): Promise<void> }[] = [];
   let kent: FakeAgent;
   let lynnwood: FakeAgent;
@@ -43,14 +43,14 @@
   };
 
   /*
-   * The agent says that it leaves while the platform's list still shows it as live. From that frame
-   * on nothing new goes there, and callers notice nothing.
+   * The agent reports that it is leaving while the VM list still shows it as live. After that frame
+   * it gets no new requests, and every caller is served by the other upstream.
    */
-  it('sends nothing new to an upstream that says so, whatever the list shows', async () => {
+  it('sends no new requests to an upstream whose agent reports that it is leaving', async () => {
     await start(answerAll);
     await callMany(4);
     kent.link()?.send({ t: 'leaving' });
-    // The answer to this call comes after the frame on the same link, so the frame has been read.
+    // The reply follows the frame on the same link, so the entry has handled the frame by then.
     await kent.link()?.call('node.status', {}, 2_000);
     const before = dispatches(kent).length;
     await callMany(8);
@@ -58,15 +58,15 @@
   });
 
   /*
-   * Work that a leaving agent hands back did not run, so it runs at another upstream, even a call
-   * that may not be repeated.
+   * A request that a leaving agent returns did not run, so it is retried at another upstream, even
+   * when it may not be repeated.
    */
-  it('runs work elsewhere that was handed back', async () => {
-    const handBack = (frame: PeerFrame, link: Link): void => {
+  it('retries a request elsewhere that a leaving agent reports as not run', async () => {
+    const returnAsNotRun = (frame: PeerFrame, link: Link): void => {
       if (frame.t !== 'dispatch') return;
       link.send({ t: 'not-run', id: frame.id, reason: 'leaving', retryAfterMs: 0, load: idleLoad });
     };
-    kent = await startFakeAgent(handBack);
+    kent = await startFakeAgent(returnAsNotRun);
     lynnwood = await startFakeAgent(answerAll);
     const exports = { kind: 'service', service: 'exports' };
     site = await startSite([
@@ -79,11 +79,11 @@
   });
 
   /*
-   * An operator stops the entry's own data centre under load. Readiness fails at once, the request
-   * in flight is answered whole, what the balancer still sends is served, and later refused as not
-   * run; the command ends only when nothing is in flight.
+   * An operator stops the data centre of the entry under load. Readiness fails at once, the request
+   * in flight is completed, and requests that the load balancer still sends are served at first and
+   * refused as not run later. The command ends only when no request is in flight.
    */
-  it('stops a data centre without cutting a request', async () => {
+  it('stops a data centre without aborting a request', async () => {
     const held: [Link, Dispatch][] = [];
     await start((frame, link) => {
       if (frame.t !== 'dispatch') return;
@@ -124,7 +124,7 @@
     expect((await site.operators('GET', '/ready')).status).to.equal(200);
   });
 
-  it('sends nothing new to another data centre that is stopped', async () => {
+  it('sends no new requests to another data centre that is stopped', async () => {
     await start(answerAll);
     const value = { state: 'stopped' };
     const changes = [{ key: 'dataCentres/lynnwood', base: -1, value }];
@@ -134,7 +134,7 @@
     expect(dispatches(lynnwood).length).to.equal(before);
   });
 
-  it('refuses rather than use a stopped data centre that alone could serve', async () => {
+  it('refuses a request that only a stopped data centre could serve', async () => {
     lynnwood = await startFakeAgent(answerAll);
     site = await startSite([upstreamVm('lynnwood-u1', lynnwood.address, inLynnwood)]);
     open.push(site, lynnwood);
@@ -146,10 +146,10 @@
   });
 
   /*
-   * SIGTERM at an entry: readiness fails first, so that the balancer moves on; what is in flight is
-   * answered whole before the doors close.
+   * An entry is drained, as on SIGTERM: readiness fails first, so that the load balancer moves on,
+   * and the request in flight is completed before the servers close.
    */
-  it('lets requests end before the entry closes', async () => {
+  it('completes requests in flight before the entry closes', async () => {
     const held: [Link, Dispatch][] = [];
     await start((frame, link) => {
       if (frame.t === 'dispatch') held.push([link, frame]);
--- a/packages/plantaindrum/test/process.test.ts
+++ b/packages/plantaindrum/test/process.test.ts
@@ -15,7 +15,7 @@
 
 type Child = ChildProcessByStdio<null, Readable, Readable>;
 
-/** Resolves with what a stream has said once that holds the text. */
+/** Resolves with the output of a stream once it contains the text. */
 const outputContaining = (stream: Readable, text: string): Promise<string> =>
   new Promise((resolve) => {
     let output = '';
@@ -25,7 +25,7 @@
     });
   });
 
-describe('plantaindrum entry, as a process', () => {
+describe('entry process', () => {
   let folder: string;
   let log: LogStandIn;
   let list: VmListStandIn;
@@ -59,7 +59,7 @@
     rmSync(folder, { recursive: true });
   });
 
-  it('says where its doors are, and ends with 0 on SIGTERM', async () => {
+  it('prints its addresses, and exits with 0 on SIGTERM', async () => {
     startWith(ANY_PORT);
     const ready = JSON.parse(await outputContaining(child.stdout, '\n')) as Record<string, unknown>;
     expect(Object.keys(ready)).to.deep.equal(['ready', 'callers', 'operators', 'link']);
@@ -68,21 +68,21 @@
     expect(await once(child, 'exit')).to.deep.equal([0, null]);
   });
 
-  it('ends at once on a second signal', async () => {
+  it('exits at once on a second signal', async () => {
     startWith(ANY_PORT);
     await outputContaining(child.stdout, '\n');
-    const noticed = outputContaining(child.stderr, 'a second signal ends at once');
+    const drainAnnounced = outputContaining(child.stderr, 'a second signal exits at once');
     child.kill('SIGTERM');
-    await noticed;
+    await drainAnnounced;
     child.kill('SIGINT');
     expect(await once(child, 'exit')).to.deep.equal([130, null]);
   });
 
-  it('ends with an error when it cannot listen', async () => {
+  it('exits with an error when it cannot listen', async () => {
     const { hostname, port } = new URL(log.url);
     startWith({ host: hostname, port: Number(port) });
-    const told = outputContaining(child.stderr, 'Hint');
+    const errorOutput = outputContaining(child.stderr, 'Hint');
     expect(await once(child, 'exit')).to.deep.equal([5, null]);
-    expect(await told).to.match(/^\[listen-failed\]/m);
+    expect(await errorOutput).to.match(/^\[listen-failed\]/m);
   });
 });
--- a/packages/plantaindrum/test/readiness.test.ts
+++ b/packages/plantaindrum/test/readiness.test.ts
@@ -24,10 +24,12 @@
     return { ready: !readiness.unready(), takesCalls: !readiness.newRequestRefusal() };
   };
 
-  // The log is down. An entry whose peers answer stays ready: nobody can change the intent now, and
-  // an outage of the log must not become one of the callers. An entry that hears nobody may be cut
-  // off alone, so it lets the balancer move on, and still serves those who come.
-  it('fails only where nobody can vouch for the intent, and serves on all the same', () => {
+  // While the log is down, an entry with reachable peers stays ready: the intent can't change, and
+  // an
+  // outage of the log must not become an outage for callers. An entry that reaches nobody may be
+  // the
+  // only one cut off, so it fails its probe, but still serves the requests that arrive.
+  it('fails when neither the log nor a peer confirms the intent, but requests are accepted', () => {
     expect(checkReadiness('fresh')).to.deep.equal({ ready: true, takesCalls: true });
     expect(checkReadiness('stale')).to.deep.equal({ ready: true, takesCalls: true });
     expect(checkReadiness('isolated')).to.deep.equal({ ready: false, takesCalls: true });
--- a/packages/plantaindrum/test/requests.test.ts
+++ b/packages/plantaindrum/test/requests.test.ts
@@ -28,7 +28,7 @@
   if (frame.t === 'dispatch') sendAnswer(link, frame, '{}');
 };
 
-/** The first dispatch that any of the agents gets is served by one script, later ones by another. */
+/** Handles the first dispatch to any of the agents by one script, and later ones by another. */
 const firstThen = (first: AgentScript, later: AgentScript): AgentScript => {
   let count = 0;
   return (frame, link) => {
@@ -38,7 +38,7 @@
   };
 };
 
-describe('requests', () => {
+describe('a request', () => {
   const open: { close(): Promise<void> }[] = [];
   let agents: FakeAgent[];
 
@@ -61,10 +61,10 @@
     for (const part of open.splice(0)) await part.close();
   });
 
-  // The links to both upstreams break under the dispatch, one after the other. Each agent proves
-  // that nothing arrived and is linked again, so the caller's approval can still be served; it was
-  // refused before, since an upstream that had been tried was never asked again.
-  it('go again to an upstream that a dispatch never reached, where no other is left', async () => {
+  // The dispatch to each of the two upstreams is lost with its link. Both agents prove that nothing
+  // arrived and reconnect, so the request can still be served. An entry that never retried an
+  // upstream would refuse it.
+  it('is retried at an upstream that a dispatch never reached when no other is left', async () => {
     let lost = 0;
     const loseTwoDispatches: AgentScript = (frame, link) => {
       if (frame.t !== 'dispatch') return;
@@ -80,7 +80,7 @@
     expect([res.status, sent()]).to.deep.equal([200, 3]);
   });
 
-  it('are refused at once with the Retry-After of the last agent', async () => {
+  it('is refused at once with the Retry-After of the last agent', async () => {
     const site = await start(refuseWith('queue-full', 6_500));
     const { status, headers } = await site.call('/v1/completions', { body });
     expect([status, headers['retry-after']]).to.deep.equal([429, '7']);
@@ -88,7 +88,7 @@
     expect(sent()).to.equal(2);
   });
 
-  it('run at another upstream after a proved "not run"', async () => {
+  it('runs at another upstream after a proved "not run"', async () => {
     const site = await start(firstThen(refuseWith('queue-full', 50), answer), exportsLabels);
     const { status } = await site.call('/exports/1', { body: '{}' });
     expect([status, sent()]).to.deep.equal([200, 2]);
@@ -96,17 +96,17 @@
   });
 
   /*
-   * The upstream broke off after it was given a call that may not be repeated. The call may have
-   * had its effect: no other upstream gets it, and the caller is told that nobody knows.
+   * The upstream breaks off a call that may not be repeated. The call may have had its effect, so
+   * no other upstream gets it, and the refusal reports the outcome as unknown.
    */
-  it('that may not be repeated go to no second upstream while the outcome is unknown', async () => {
+  it('is not retried after an unknown outcome when it may not be repeated', async () => {
     const site = await start(firstThen(breakOff, answer), exportsLabels);
     const { status, headers } = await site.call('/exports/1', { body: '{}' });
     expect([status, headers['x-plantaindrum-outcome'], sent()]).to.deep.equal([502, 'unknown', 1]);
     expect(site.metrics.counter('retries_denied', { reason: 'may-not-repeat' })).to.equal(1);
   });
 
-  it('with an idempotency key are not repeated either', async () => {
+  it('is not retried after an unknown outcome when it has an idempotency key', async () => {
     const site = await start(firstThen(breakOff, answer));
     const headers = { 'idempotency-key': 'k1' };
     const first = await site.call('/v1/completions', { body, headers });
@@ -114,20 +114,20 @@
   });
 
   /*
-   * The first attempt may have run, the second provably did not. Together the request may have
-   * run, so the refusal says "unknown" although the last agent said "not run".
+   * The first attempt may have run, the second provably did not. The request as a whole may have
+   * run, so the refusal reports "unknown" although the last agent reported "not run".
    */
-  it('stay unknown when a retry did not run', async () => {
+  it('keeps the outcome "unknown" when a retry did not run', async () => {
     const site = await start(firstThen(breakOff, refuseWith('deadline-unreachable', 50)));
     const { status, headers } = await site.call('/v1/completions', { body });
     expect([status, headers['x-plantaindrum-outcome'], sent()]).to.deep.equal([502, 'unknown', 2]);
   });
 
   /*
-   * A caller connects although the door holds its most connections. Its request is read and refused
-   * as not run, and has not been given to any upstream; once there is room the same caller is served.
+   * A caller connects while the server has its maximum of connections. Its request is read and
+   * refused as not run, and reaches no upstream; once a connection has closed, callers are served.
    */
-  it('over the limit of connections get a refusal and not a reset', async () => {
+  it('is refused, not reset, when it exceeds the connection limit', async () => {
     const site = await start(answer, exportsLabels, { connections: 1 });
     const { hostname, port } = new URL(site.entry.callers);
     const first = connect(Number(port), hostname);
--- a/packages/plantaindrum/test/routes.test.ts
+++ b/packages/plantaindrum/test/routes.test.ts
@@ -9,7 +9,7 @@
   });
   const prefixOf = (path: string) => findRoute(document, path)?.pathPrefix;
 
-  it('match whole segments, the longest first', () => {
+  it('match whole path segments, longest prefix first', () => {
     const paths = ['/exports', '/exports/7', '/exports?a=1', '/exports/checks/1', '/exports-old'];
     expect(paths.map(prefixOf)).to.deep.equal([
       ...['/exports', '/exports', '/exports', '/exports/checks/', undefined],
--- a/packages/plantaindrum/test/run-attempt.test.ts
+++ b/packages/plantaindrum/test/run-attempt.test.ts
@@ -8,7 +8,7 @@
 import { idleLoad } from './support/fake-agent.js';
 import { createFakeLink } from './support/fake-link.js';
 
-const work: DispatchPayload = {
+const payload: DispatchPayload = {
   organisation: 'rainier',
   class: 'export',
   priority: 'normal',
@@ -20,7 +20,7 @@
   body: Buffer.from('{}'),
 };
 
-/** Lets everything that waits for nothing outside run. */
+/** Lets all pending promise callbacks run. */
 const flushMicrotasks = (): Promise<void> =>
   new Promise((resolve) => {
     setImmediate(resolve);
@@ -57,7 +57,7 @@
   let disconnectCaller = (): void => {};
   let text = '';
   let room: Promise<void> = Promise.resolve();
-  const answer: ResponseSink = {
+  const response: ResponseSink = {
     head: () => true,
     write: async (data) => {
       text += Buffer.from(data).toString();
@@ -66,17 +66,17 @@
     },
     end: () => true,
   };
-  const run = (id: AttemptId, repeatable = false) =>
+  const run = (id: AttemptId, mayRunElsewhere = false) =>
     runAttempt({
       id,
       upstream,
-      payload: work,
-      response: answer,
+      payload,
+      response,
       onCallerDisconnect: (fn) => {
         disconnectCaller = fn;
         return () => {};
       },
-      mayRunElsewhere: repeatable,
+      mayRunElsewhere,
       ticket: { started: () => {}, firstByte: () => {} },
       timeouts: defaultAttemptTimeouts,
       clock,
@@ -96,7 +96,7 @@
     reconnect,
     disconnectCaller: () => disconnectCaller(),
     text: () => text,
-    /** The caller reads nothing until the result is called. */
+    /** Makes the caller read nothing until the returned function is called. */
     stallCaller: (): (() => void) => {
       let drain = (): void => {};
       room = new Promise((resolve) => {
@@ -108,7 +108,7 @@
 };
 
 describe('an attempt', () => {
-  it('is answered when offsets and length fit, and grants credit for what was written', async () => {
+  it('is answered when offsets and length match, and grants credit for bytes written', async () => {
     const { deliver, run, first, text } = setUp();
     const outcome = run('e:1');
     [head('e:1'), chunk('e:1', 0, 'ab'), chunk('e:1', 2, 'cd'), end('e:1', 4)].forEach(deliver);
@@ -118,8 +118,8 @@
   });
 
   /*
-   * The agent's answer lacks bytes, repeats them or ends early. Passed on, the caller would take a
-   * damaged answer for a whole one; so it ends as unknown, counted, and the agent is told to stop.
+   * The response of the agent lacks bytes, repeats them or ends early. Forwarded, it would look
+   * complete to the caller. So the attempt ends as unknown, is counted and cancelled at the agent.
    */
   const invalidResponses: Record<string, { frames: PeerFrame[]; fault: string }> = {
     'a chunk is missing': {
@@ -155,10 +155,11 @@
   });
 
   /*
-   * Two answers cross on one link, and frames of an ended attempt arrive late. Each caller gets the
-   * bytes of its own request, because ids are never used twice and unknown ids are dropped.
+   * Frames of two attempts are interleaved on one link, and frames of an ended attempt arrive late.
+   * Each caller gets only the bytes of its own request: ids are never reused, and frames with
+   * unknown ids are dropped.
    */
-  it('takes no frames of another attempt, and frames after its end are dropped', async () => {
+  it('ignores frames of other attempts and frames after its end', async () => {
     const { deliver, run, metrics, text } = setUp();
     const outcome = run('e:2');
     [head('e:1'), head('e:2'), chunk('e:1', 0, 'other'), chunk('e:2', 0, 'own')].forEach(deliver);
@@ -170,12 +171,12 @@
   });
 
   /*
-   * The caller reads slowly. Credit goes back to the agent only as fast as the caller takes bytes,
-   * so that the answer waits at the agent and not in this process.
+   * The caller reads slowly. Credit is granted only as fast as the caller takes bytes, so that the
+   * response is buffered at the agent and not in this process.
    */
-  it('grants credit only once the caller has room', async () => {
-    const { deliver, run, first, stallCaller: fill, text } = setUp();
-    const drain = fill();
+  it('grants credit only when the caller can take more', async () => {
+    const { deliver, run, first, stallCaller, text } = setUp();
+    const drain = stallCaller();
     const outcome = run('e:1');
     await first.waitForSent('dispatch');
     [head('e:1'), chunk('e:1', 0, 'ab'), end('e:1', 2)].forEach(deliver);
@@ -186,9 +187,9 @@
     expect(first.sent.at(-1)).to.deep.equal({ t: 'credit', id: 'e:1', bytes: 2 });
   });
 
-  it('holds no more than the credit for a slow caller', async () => {
-    const { deliver, run, stallCaller: fill, metrics } = setUp();
-    const drain = fill();
+  it('buffers no more than the credit for a slow caller', async () => {
+    const { deliver, run, stallCaller, metrics } = setUp();
+    const drain = stallCaller();
     const outcome = run('e:1');
     const part = 'x'.repeat(INITIAL_CREDIT_BYTES / 2);
     deliver(head('e:1'));
@@ -206,10 +207,10 @@
   });
 
   /*
-   * The link is lost in the middle of an answer. The same agent instance comes back: it is asked
-   * what became of the attempt, and sends on from the bytes that the entry holds.
+   * The link is lost in the middle of a response, and the same agent instance reconnects. The entry
+   * queries the attempt, and the agent continues after the bytes that the entry already has.
    */
-  it('goes on with the same agent instance after a lost link', async () => {
+  it('resumes with the same agent instance after a lost link', async () => {
     const { deliver, run, first, reconnect, text } = setUp();
     const outcome = run('e:1');
     [head('e:1'), chunk('e:1', 0, 'ab')].forEach(deliver);
@@ -224,7 +225,7 @@
     expect(text()).to.equal('abcd');
   });
 
-  it('is not run when the agent has put a tombstone on it after a lost link', async () => {
+  it('is not run when the agent reports a tombstone after a lost link', async () => {
     const { run, first, reconnect } = setUp();
     const outcome = run('e:1');
     await first.waitForSent('dispatch');
@@ -237,10 +238,10 @@
   });
 
   /*
-   * The agent died after the dispatch and its successor answers at the same address. It knows
-   * nothing of the attempt, which may have run: the outcome is unknown, and nobody is asked.
+   * The agent dies after the dispatch, and a new instance accepts the link at the same address. It
+   * has no record of the attempt, which may have run: the outcome is unknown, without a query.
    */
-  it('is unknown when another agent instance comes back', async () => {
+  it('is unknown when another agent instance reconnects', async () => {
     const { run, first, reconnect } = setUp();
     const outcome = run('e:1');
     await first.waitForSent('dispatch');
@@ -250,7 +251,7 @@
     expect(second.sent).to.deep.equal([]);
   });
 
-  it('is unknown when no agent comes back in time', async () => {
+  it('is unknown when no agent reconnects in time', async () => {
     const { clock, run, first } = setUp();
     const outcome = run('e:1');
     await first.waitForSent('dispatch');
@@ -260,11 +261,12 @@
   });
 
   /*
-   * The agent's process is frozen: its link stays open and nothing comes. Work that may run
-   * elsewhere is given up after a second of silence, long before the heartbeat ends the link, so
-   * that another upstream can still meet the target. Work that may not be repeated waits on.
+   * The agent's process is frozen: its link stays open, but no frames arrive. A request that may
+   * run elsewhere is given up after a second of silence, long before the heartbeat closes the link,
+   * so that another upstream can still meet the target. A request that may not be repeated keeps
+   * waiting.
    */
-  it('is given up when the agent is silent, if the work may run elsewhere', async () => {
+  it('is given up when the agent is silent, if the request may run elsewhere', async () => {
     const { upstream, run, first, metrics } = setUp();
     const repeatable = run('e:1', true);
     const once = run('e:2');
@@ -279,7 +281,7 @@
     expect((await once).outcome).to.equal('unknown');
   });
 
-  it('goes on when the agent says anything in between', async () => {
+  it('continues when any frame arrives before the silence limit', async () => {
     const { upstream, run, first, deliver } = setUp();
     const outcome = run('e:1', true);
     await first.waitForSent('dispatch');
@@ -290,7 +292,7 @@
     expect(await outcome).to.deep.equal({ outcome: 'answered' });
   });
 
-  it('cancels a silent attempt and takes the word of the agent', async () => {
+  it('is cancelled after a long silence, and ends as the agent replies', async () => {
     const { clock, run, first, deliver } = setUp();
     const outcome = run('e:1');
     await first.waitForSent('dispatch');
@@ -301,10 +303,10 @@
   });
 
   /*
-   * The caller goes away while the link is down. The agent must not go on for nobody, so the
-   * cancel waits for the same instance to come back.
+   * The caller disconnects while the link is down. The agent must not keep working for nobody, so
+   * the cancel is sent when the same instance reconnects.
    */
-  it('cancels when the caller has gone, also after a lost link', async () => {
+  it('is cancelled when the caller disconnects, also after a lost link', async () => {
     const { run, first, reconnect, disconnectCaller } = setUp();
     const outcome = run('e:1');
     await first.waitForSent('dispatch');
--- a/packages/plantaindrum/test/starting.test.ts
+++ b/packages/plantaindrum/test/starting.test.ts
@@ -13,7 +13,7 @@
     for (const part of open.splice(0)) await part.close();
   });
 
-  /** Answers the first reads by 503, then as the list at the address that it is given. */
+  /** Starts a server that fails the first reads with 503 and then forwards to the given VM list. */
   const startFailingList = async (failures: number) => {
     let left = failures;
     let target = '';
@@ -36,8 +36,8 @@
     };
   };
 
-  // A VM is replaced while the platform's list is down. An entry that took "no list" for "no VMs" would
-  // report ready, draw callers from the entries that still serve, and refuse each with "no upstream".
+  // An entry starts while the VM list is down. If it took a failed read for an empty list, it would
+  // become ready, attract callers from entries that can serve, and refuse them with "no-upstream".
   it('is not ready before it has read the VM list', async () => {
     const agent = await startFakeAgent((frame, link) => {
       if (frame.t === 'dispatch') sendAnswer(link, frame, '{}');
--- a/packages/plantaindrum/test/stop-command.test.ts
+++ b/packages/plantaindrum/test/stop-command.test.ts
@@ -37,14 +37,15 @@
 });
 
 describe('waiting for a data centre to stop', () => {
-  it('shows what is in flight, on each change, and ends when nothing is', async () => {
+  it('prints requests in flight whenever they change, and ends when there are none', async () => {
     const ended = await runWith([[entry(2)], [entry(2)], [entry(1)], [entry(0)]]);
     expect(ended).toMatchSnapshot();
   });
 
-  // An agent of the data centre is frozen with a call in its hands. It can't be asked, and the
-  // operator must not be told that nothing is in flight: the cables would be pulled on that word.
-  it('does not say that nothing is in flight while a node does not answer', async () => {
+  // An agent of the data centre is frozen with a request in flight and doesn't answer. The operator
+  // must not be told that nothing is in flight, because machines are powered off after that
+  // message.
+  it('does not report the data centre as idle while a node does not answer', async () => {
     const silent: NodeReport = { node: 'kent-u1', role: 'agent', dataCentre: 'kent' };
     const ended = await runWith([[entry(0), silent]]);
     expect(ended).toMatchSnapshot();
--- a/packages/plantaindrum/test/streams.test.ts
+++ b/packages/plantaindrum/test/streams.test.ts
@@ -15,7 +15,7 @@
 
 type Send = (text: string) => void;
 
-/** Starts a stream on a link; the result sends its bytes. */
+/** Starts a streamed response on a link; the result sends text as its next chunk. */
 const startStream = (link: Link, { id }: Dispatch): Send => {
   let offset = 0;
   const headers = { 'content-type': 'text/event-stream' };
@@ -38,7 +38,7 @@
   load: idleLoad,
 });
 
-/** Resolves when nobody listens at the address any more. */
+/** Resolves when connections to the address are refused. */
 const waitUntilRefused = async (url: string): Promise<void> => {
   try {
     const socket = connect(Number(new URL(url).port), '127.0.0.1');
@@ -50,7 +50,7 @@
   await waitUntilRefused(url);
 };
 
-describe('streams', () => {
+describe('a stream', () => {
   const open: { close(): Promise<void> }[] = [];
 
   const startWith = async (
@@ -68,12 +68,12 @@
     for (const part of open.splice(0)) await part.close();
   });
 
-  it('reach the caller event by event, and end after [DONE]', async () => {
+  it('reaches the caller event by event, and ends after [DONE]', async () => {
     const { site } = await startWith((frame, link) => {
       if (frame.t !== 'dispatch') return;
       const text = events(0, 3) + DONE;
       const send = startStream(link, frame);
-      // Cut in the middle of an event: only whole events go on.
+      // The chunks are split in the middle of an event; only complete events are forwarded.
       send(text.slice(0, 20));
       send(text.slice(20));
       endStream(link, frame, text.length);
@@ -86,10 +86,11 @@
   });
 
   /*
-   * The upstream breaks off in the middle of an event and no other can go on. The caller gets the
-   * whole events, then an error event, and the connection breaks: no client takes that for an end.
+   * The upstream breaks off in the middle of an event, and no other can resume. The caller gets the
+   * complete events, then an error event, and the connection is aborted, so that no client takes
+   * the stream for complete.
    */
-  it('break off with an error event when nobody can go on', async () => {
+  it('ends with an error event when no upstream can resume it', async () => {
     const { site } = await startWith((frame, link) => {
       if (frame.t !== 'dispatch') return;
       startStream(link, frame)(`${events(0, 2)}id: 2\nda`);
@@ -102,9 +103,10 @@
     expect(JSON.parse(error)).to.have.nested.property('error.outcome', 'unknown');
   });
 
-  // An entry leaves while a stream is open, and the stream's upstream gives it up. That ends the last
-  // request, so the entry closes in the same turn; its caller must still get the error event.
-  it('break off with an error event also as the last request of an entry that leaves', async () => {
+  // An entry drains while a stream is open, and the upstream breaks it off. That ends the last
+  // request, so the entry closes in the same tick of the event loop; the caller must still get the
+  // error event.
+  it('ends with an error event also as the last request of a draining entry', async () => {
     let giveUp = (): void => {};
     const { site, agents } = await startWith((frame, link) => {
       if (frame.t !== 'dispatch') return;
@@ -120,7 +122,7 @@
     await drained;
   });
 
-  it('break off when the end comes without [DONE]', async () => {
+  it('is aborted when its end comes without [DONE]', async () => {
     const { site } = await startWith((frame, link) => {
       if (frame.t !== 'dispatch') return;
       startStream(link, frame)(events(0, 2));
@@ -132,10 +134,10 @@
   });
 
   /*
-   * The first upstream dies after two events and half of a third. Another one is asked to resume
-   * after the last whole event that went to the caller, who sees one stream without a seam.
+   * The first upstream fails after two events and half of a third. The retry asks another to resume
+   * after the last complete event that was sent, so the caller gets one stream without gaps.
    */
-  const resuming =
+  const failThenResumeFrom =
     (from: number) =>
     (frame: PeerFrame, link: Link): void => {
       if (frame.t !== 'dispatch') return;
@@ -150,29 +152,29 @@
       endStream(link, frame, text.length);
     };
 
-  it('are resumed after the last whole event on another upstream', async () => {
-    const { site, agents } = await startWith(resuming(2), resuming(2));
+  it('is resumed on another upstream after the last complete event', async () => {
+    const { site, agents } = await startWith(failThenResumeFrom(2), failThenResumeFrom(2));
     const { text, broken } = await site.call('/v1/completions', { body });
     expect([text, broken]).to.deep.equal([events(0, 5) + DONE, false]);
     const sent = agents.flatMap(({ frames }) => frames.filter((frame) => frame.t === 'dispatch'));
     expect(sent.map(({ resumeAfter }) => resumeAfter ?? 'start')).to.have.members(['start', '1']);
   });
 
-  it('drop events that a resumed upstream repeats', async () => {
-    const { site } = await startWith(resuming(0), resuming(0));
+  it('omits events that the resuming upstream repeats', async () => {
+    const { site } = await startWith(failThenResumeFrom(0), failThenResumeFrom(0));
     const { text, broken } = await site.call('/v1/completions', { body });
     expect([text, broken]).to.deep.equal([events(0, 5) + DONE, false]);
     expect(site.metrics.counter('events_repeated')).to.equal(2);
   });
 
-  it('break off when a resumed upstream leaves events out', async () => {
-    const { site } = await startWith(resuming(3), resuming(3));
+  it('is aborted when the resuming upstream skips events', async () => {
+    const { site } = await startWith(failThenResumeFrom(3), failThenResumeFrom(3));
     const { text, broken } = await site.call('/v1/completions', { body });
     expect(broken).to.equal(true);
     expect(text.startsWith(`${events(0, 2)}event: error`)).to.equal(true);
   });
 
-  it('are cancelled at the agent when the caller goes in mid stream', async () => {
+  it('is cancelled at the agent when the caller disconnects', async () => {
     const { site, agents } = await startWith((frame, link) => {
       if (frame.t === 'dispatch') startStream(link, frame)(events(0, 2));
     });
--- a/packages/plantaindrum/test/support/fake-agent.ts
+++ b/packages/plantaindrum/test/support/fake-agent.ts
@@ -5,19 +5,19 @@
 /** Load of an idle agent. */
 export const idleLoad: Load = { queued: 0, running: 0, drainPerSecond: 0, leaving: false };
 
-/** A link server that plays an agent by a test's script. */
+/** A link server that acts as an agent by the script of a test. */
 export interface FakeAgent {
   address: string;
-  /** Frames that came, in order. */
+  /** Frames received, in order. */
   frames: PeerFrame[];
-  /** The newest link. */
+  /** The latest link. */
   link(): Link | undefined;
-  /** Resolves with the next frame of a kind that has not been waited for. */
+  /** Resolves with the next frame of a kind that no earlier call has returned. */
   next<T extends PeerFrame['t']>(kind: T): Promise<Extract<PeerFrame, { t: T }>>;
   close(): Promise<void>;
 }
 
-/** Sends a whole answer with its length. */
+/** Sends a complete response. */
 export const sendAnswer = (
   link: Link,
   { id }: Pick<Dispatch, 'id'>,
@@ -31,7 +31,7 @@
   link.send({ t: 'end', id, length: data.length, load: idleLoad });
 };
 
-/** Starts a fake agent; `script` runs on each frame. */
+/** Starts a fake agent; `script` is called with each frame. */
 export const startFakeAgent = async (
   script: (frame: PeerFrame, link: Link) => void = () => {},
   options: { instance?: string; port?: number } = {},
--- a/packages/plantaindrum/test/support/fake-link.ts
+++ b/packages/plantaindrum/test/support/fake-link.ts
@@ -3,11 +3,11 @@
 /** A link without a socket. */
 export interface FakeLink {
   link: Link;
-  /** Frames that were sent, in order. */
+  /** Frames sent, in order. */
   sent: Frame[];
-  /** Resolves once a frame of the kind has been sent. */
+  /** Resolves with the first frame of the kind, waiting for it if necessary. */
   waitForSent(kind: Frame['t']): Promise<Frame>;
-  /** Ends the link; resolves when those who wait for its end know. */
+  /** Closes the link as its peer would; resolves when the listeners of `closed` have run. */
   closeByPeer(): Promise<void>;
 }
 
@@ -64,7 +64,7 @@
       open = false;
       resolveClosed('closed-by-peer');
       await closed;
-      // Everyone who waits for the end runs before the next turn of the event loop.
+      // All listeners of `closed` run before the next iteration of the event loop.
       await new Promise((resolve) => {
         setImmediate(resolve);
       });
--- a/packages/plantaindrum/test/support/site.ts
+++ b/packages/plantaindrum/test/support/site.ts
@@ -13,9 +13,9 @@
 import type { Entry } from '../../src/index.js';
 import { startEntry } from '../../src/index.js';
 
-/** Token of the operators' door. */
+/** Bearer token of the operator server. */
 export const TOKEN = 'test-operators-token';
-/** API key of the one organisation. */
+/** API key of the only organisation. */
 export const KEY = 'key-rainier';
 
 const keyHash = createHash('sha256').update(KEY).digest('hex');
@@ -35,7 +35,7 @@
   },
 ];
 
-/** An answer as a caller sees it; `broken` when it did not end cleanly. */
+/** A response as received; `broken` when the connection ended before the response did. */
 export interface ReceivedResponse {
   status: number;
   headers: Record<string, string | string[] | undefined>;
@@ -43,19 +43,19 @@
   broken: boolean;
 }
 
-/** One entry before stand-ins of the platform. */
+/** One entry with stand-ins for the platform. */
 export interface TestSite {
   entry: Entry;
   metrics: Metrics;
   call(path: string, options?: CallOptions): Promise<ReceivedResponse>;
   operators(method: 'GET' | 'POST', path: string, body?: unknown): Promise<ReceivedResponse>;
-  /** Closes the entry, unless a test has let it end by itself, and the stand-ins. */
+  /** Closes the entry, unless a test has drained it, and the stand-ins. */
   close(): Promise<void>;
-  /** Lets the entry end by itself. */
+  /** Drains and closes the entry. */
   drain(): Promise<void>;
 }
 
-/** What a caller sends. */
+/** Options of a request. */
 export interface CallOptions {
   method?: 'GET' | 'POST';
   body?: string;
@@ -81,7 +81,7 @@
   return { status: res.statusCode, headers: res.headers, text, broken };
 };
 
-/** A VM of the list that serves a model or a service. */
+/** Creates a VM list entry of an upstream that serves a model or a service. */
 export const upstreamVm = (
   name: string,
   address: string,
@@ -98,11 +98,11 @@
   },
 });
 
-/** Starts an entry that knows the given VMs, with the intent of one organisation. */
+/** Starts an entry with the given VM list and an intent with one organisation. */
 export const startSite = async (
   vms: VmTarget[],
   limits: Record<string, number> = {},
-  /** Address of the VM list, made from that of the stand-in. */
+  /** Maps the address of the VM list stand-in to the address that the entry uses. */
   vmListUrl: (url: string) => string = (url) => url,
 ): Promise<TestSite> => {
   const log = await createLogStandIn();
