--- a/packages/plantaindrum/src/cli/apply/index.ts
+++ b/packages/plantaindrum/src/cli/apply/index.ts
@@ -6,7 +6,7 @@
 import { createOperatorClient, withOperatorOptions } from '../operator-client.js';
 import type { SubmitArgs } from '../submit.js';
 import { fetchIntent, submitChanges, withSubmitOptions } from '../submit.js';
-import { computeChanges, checkBaseVersion } from './changes.js';
+import { checkBaseVersion, computeChanges } from './changes.js';
 
 interface ApplyArgs extends OperatorArgs, SubmitArgs {
   file: string;
--- a/packages/plantaindrum/src/cli/entry/index.ts
+++ b/packages/plantaindrum/src/cli/entry/index.ts
@@ -30,7 +30,8 @@
   return String(code ?? message ?? err);
 };
 
-const startOrReport = async (
+/** Starts the entry; throws `listen-failed` when it cannot listen on an address of the file. */
+const startEntryOrFail = async (
   file: string,
   ...args: Parameters<typeof startEntry>
 ): Promise<Entry> => {
@@ -52,7 +53,7 @@
   const log = createLogger(settings.node.name);
   const metrics = createMetrics();
   const deps = { clock: systemClock, random: systemRandom, metrics, log };
-  const entry = await startOrReport(file, settings, deps);
+  const entry = await startEntryOrFail(file, settings, deps);
   const signalled = nextSignal();
   await Promise.race([entry.ready, sleep(systemClock, READY_LINE_TIMEOUT_MS), signalled]);
   const { callers, operators, link } = entry;
--- a/packages/plantaindrum/src/core/attempts/run-attempt.ts
+++ b/packages/plantaindrum/src/core/attempts/run-attempt.ts
@@ -8,11 +8,11 @@
 import { createSentAttempt } from '@plantaindrum/requests';
 import { createAsyncQueue } from './async-queue.js';
 import type {
-  ResponseSink,
   AttemptEvent,
   AttemptOutcome,
   AttemptUpstream,
   DispatchPayload,
+  ResponseSink,
 } from './types.js';
 
 /** Timeouts of an attempt, in milliseconds. */
--- a/packages/plantaindrum/src/core/callers/caller-response.ts
+++ b/packages/plantaindrum/src/core/callers/caller-response.ts
@@ -4,10 +4,10 @@
 import type { Clock, Metrics, Refusal } from '@plantaindrum/common';
 import { refusalBody, refusalEvent, refusalHeaders, refusalStatus } from '@plantaindrum/common';
 import type { ResponseSink } from '../attempts/types.js';
+import { createDrainWait } from './drain-wait.js';
 import type { EventStreamParser, ServerSentEvent } from './event-stream-parser.js';
 import { createEventStreamParser } from './event-stream-parser.js';
 import { responseHeaders } from './headers.js';
-import { createDrainWait } from './drain-wait.js';
 
 /** Responses up to this size are buffered until complete, so that a failure becomes a refusal. */
 const MAX_BUFFERED_BYTES = 1_048_576;
--- a/packages/plantaindrum/src/core/callers/caller-server.ts
+++ b/packages/plantaindrum/src/core/callers/caller-server.ts
@@ -1,4 +1,4 @@
-/** HTTP server of callers: each request ends in one response or refusal. */
+/** HTTP server for callers: each request ends in one response or refusal. */
 
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { createServer } from 'node:http';
@@ -10,9 +10,9 @@
 import { serveRequest } from '../requests/serve-request.js';
 import type { ClassTargets } from '../status/class-targets.js';
 import { createCallerResponse } from './caller-response.js';
-import { createRequestReader } from './request-reader.js';
-import { createRequestMetrics } from './request-metrics.js';
 import { waitUntilSent } from './drain-wait.js';
+import { createRequestMetrics } from './request-metrics.js';
+import { createRequestReader } from './request-reader.js';
 
 /** Options of the caller server. */
 export interface CallerServerOptions {
--- a/packages/plantaindrum/src/core/callers/request-metrics.ts
+++ b/packages/plantaindrum/src/core/callers/request-metrics.ts
@@ -2,9 +2,7 @@
 import type { EntryRequest, RequestEnd } from '../requests/types.js';
 import type { ClassTargets } from '../status/class-targets.js';
 
-/**
- * Measures one request; it meets the target of its class when its first byte or token is in time.
- */
+/** Measures one request against the target of its class, which is on the first byte or token. */
 export interface RequestMetrics {
   /** A part of the response was sent to the caller. */
   recordSent(): void;
--- a/packages/plantaindrum/src/core/entry/entry-upstreams.ts
+++ b/packages/plantaindrum/src/core/entry/entry-upstreams.ts
@@ -20,9 +20,7 @@
   directory: UpstreamDirectory;
   /** The open link to a VM, if there is one. */
   linkTo(vm: Vm): Link | undefined;
-  /**
-   * Resolves after the first successful read of the VM list, which is then polled until `close`.
-   */
+  /** Resolves after the first successful read of the VM list; polls it from then on. */
   start(): Promise<void>;
   /** Resolves when every upstream that is not leaving is linked, or after a timeout. */
   waitForInitialLinks(): Promise<void>;
@@ -67,7 +65,7 @@
     log: log.child('upstreams'),
     intervalMs: LIST_POLL_INTERVAL_MS,
   });
-  const createdDirectory = directory;
+  const upstreamDirectory = directory;
   intent.onChange(router.handleIntentChange);
 
   const runPeriodically = async (intervalMs: number, fn: () => void): Promise<void> => {
@@ -82,26 +80,26 @@
    * it would attract callers that other entries could serve, and refuse them all.
    */
   const readInitialList = async (): Promise<void> => {
-    while (!(await createdDirectory.refresh())) await sleep(clock, INITIAL_LIST_RETRY_DELAY_MS);
+    while (!(await upstreamDirectory.refresh())) await sleep(clock, INITIAL_LIST_RETRY_DELAY_MS);
   };
 
   const hasMissingLink = (): boolean =>
-    createdDirectory.upstreams().some((upstream) => !upstream.link() && !upstream.leaving());
+    upstreamDirectory.upstreams().some((upstream) => !upstream.link() && !upstream.leaving());
 
   return {
     router,
-    directory: createdDirectory,
+    directory: upstreamDirectory,
     linkTo: (vm) =>
-      createdDirectory
+      upstreamDirectory
         .upstreams()
         .find((upstream) => upstream.vm().name === vm.name)
         ?.link(),
     start: async () => {
       await readInitialList();
-      void createdDirectory.run();
+      void upstreamDirectory.run();
       void runPeriodically(HEALTH_REVIEW_INTERVAL_MS, router.reviewHealth);
       void runPeriodically(SILENCE_CHECK_INTERVAL_MS, () =>
-        createdDirectory.upstreams().forEach((upstream) => upstream.checkSilence()),
+        upstreamDirectory.upstreams().forEach((upstream) => upstream.checkSilence()),
       );
     },
     waitForInitialLinks: async () => {
@@ -110,7 +108,7 @@
     },
     close: async () => {
       stopped = true;
-      await createdDirectory.close();
+      await upstreamDirectory.close();
       await list.close();
     },
   };
--- a/packages/plantaindrum/src/core/entry/entry.ts
+++ b/packages/plantaindrum/src/core/entry/entry.ts
@@ -14,13 +14,13 @@
 import type { EntryRouter } from '../routing/entry-router.js';
 import { createClassTargets } from '../status/class-targets.js';
 import { createEntryStatus } from '../status/entry-status.js';
-import { createNodeStatusFetcher } from './node-status-fetcher.js';
 import type { EntryDeps } from './deps.js';
 import { startEntryIntent } from './entry-intent.js';
+import { createEntryUpstreams } from './entry-upstreams.js';
 import { createLinkOptions } from './links.js';
 import { createReportCollector } from './node-reports.js';
+import { createNodeStatusFetcher } from './node-status-fetcher.js';
 import { createReadiness } from './readiness.js';
-import { createEntryUpstreams } from './entry-upstreams.js';
 
 /** A running entry and the addresses of its servers. */
 export interface Entry {
--- a/packages/plantaindrum/src/core/operators/operator-server.ts
+++ b/packages/plantaindrum/src/core/operators/operator-server.ts
@@ -1,4 +1,4 @@
-/** HTTP server of operators: readiness, metrics, status and intent. */
+/** HTTP server for operators: readiness, metrics, status and intent. */
 
 import { createHash, timingSafeEqual } from 'node:crypto';
 import type { IncomingMessage, ServerResponse } from 'node:http';
@@ -30,7 +30,7 @@
   close(): Promise<void>;
 }
 
-const HTTP_STATUS: Record<SubmitOutcome['outcome'], number> = {
+const STATUS_BY_OUTCOME: Record<SubmitOutcome['outcome'], number> = {
   accepted: 200,
   conflict: 409,
   invalid: 422,
@@ -77,12 +77,12 @@
     }
     const submission = parseSubmission(body.value);
     if (!submission.ok) {
-      sendJson(res, HTTP_STATUS.invalid, { outcome: 'invalid', faults: submission.err });
+      sendJson(res, STATUS_BY_OUTCOME.invalid, { outcome: 'invalid', faults: submission.err });
       return;
     }
     const outcome = await intent.submit(submission.value);
     metrics.count('intent_submissions', { outcome: outcome.outcome });
-    sendJson(res, HTTP_STATUS[outcome.outcome], outcome);
+    sendJson(res, STATUS_BY_OUTCOME[outcome.outcome], outcome);
   };
 
   const serve = async (req: IncomingMessage, res: ServerResponse): Promise<void> => {
--- a/packages/plantaindrum/src/core/requests/serve-request.ts
+++ b/packages/plantaindrum/src/core/requests/serve-request.ts
@@ -8,8 +8,8 @@
 import type { AttemptOutcome } from '../attempts/types.js';
 import type { CallerResponse } from '../callers/caller-response.js';
 import type { SelectedUpstream } from '../routing/entry-router.js';
+import { createDispatchPayload, refusalData } from './dispatch-payload.js';
 import type { EntryRequest, RequestEnd } from './types.js';
-import { refusalData, createDispatchPayload } from './dispatch-payload.js';
 
 /** Options for serving requests. */
 export interface ServeOptions {
--- a/packages/plantaindrum/src/core/routing/entry-router.ts
+++ b/packages/plantaindrum/src/core/routing/entry-router.ts
@@ -73,10 +73,7 @@
     );
   };
 
-  /**
-   * Upstreams of restarted data centres that the ramp does not admit: their traffic grows
-   * gradually.
-   */
+  /** Upstreams of restarted data centres that the ramp holds back: traffic returns gradually. */
   const heldBackUpstreams = (): string[] => {
     const names = new Set(Object.keys(document().dataCentres).filter((name) => !ramp.admits(name)));
     return names.size === 0
@@ -97,17 +94,16 @@
 
   const selectRoute = (request: EntryRequest, tried: ReadonlySet<string>): Route => {
     const prefix = promptPrefix(request);
-    const excluding = (names: Iterable<string>): Route =>
+    const routeExcluding = (names: Iterable<string>): Route =>
       router.choose({
         target: requestTarget(request),
         exclude: new Set([...tried, ...unlinked, ...names]),
         ...(prefix !== undefined && { prefix }),
       });
     const heldBack = heldBackUpstreams();
-    const route = excluding(heldBack);
-    // A request that no other upstream can serve goes to a restarted data centre whatever its
-    // share.
-    return route.upstream === undefined && heldBack.length > 0 ? excluding([]) : route;
+    const route = routeExcluding(heldBack);
+    // A request that no other upstream can serve goes to one that is held back.
+    return route.upstream === undefined && heldBack.length > 0 ? routeExcluding([]) : route;
   };
 
   return {
--- a/packages/plantaindrum/src/core/status/class-targets.ts
+++ b/packages/plantaindrum/src/core/status/class-targets.ts
@@ -59,15 +59,15 @@
 
   return {
     record: (name, withinTarget) => {
-      const slot = currentBucket(name);
-      slot.requests += 1;
-      if (withinTarget) slot.withinTarget += 1;
+      const bucket = currentBucket(name);
+      bucket.requests += 1;
+      if (withinTarget) bucket.withinTarget += 1;
     },
     status: (document) =>
       Object.entries(document.classes).map(([name, { latestAnswerMs, share }]) => {
         const kept = recentBuckets(name);
-        const requests = kept.reduce((sum, slot) => sum + slot.requests, 0);
-        const within = kept.reduce((sum, slot) => sum + slot.withinTarget, 0);
+        const requests = kept.reduce((sum, bucket) => sum + bucket.requests, 0);
+        const within = kept.reduce((sum, bucket) => sum + bucket.withinTarget, 0);
         const served = requests > 0 ? within / requests : undefined;
         const met = served === undefined ? undefined : served >= share;
         return { name, latestAnswerMs, share, requests, served, met };
--- a/packages/plantaindrum/src/core/status/entry-status.ts
+++ b/packages/plantaindrum/src/core/status/entry-status.ts
@@ -16,9 +16,7 @@
   group?: string;
   linked: boolean;
   leaving: boolean;
-  /**
-   * Health by the router: in full service, ejected for being slow or silent, or being readmitted.
-   */
+  /** Health in the router: in full service, ejected (slow or silent), or being readmitted. */
   health: string;
   /** Requests of this entry in flight at the upstream. */
   outstanding: number;
--- a/packages/plantaindrum/test/caller-server.test.ts
+++ b/packages/plantaindrum/test/caller-server.test.ts
@@ -33,12 +33,12 @@
       '{"path":"/v1/completions"}',
       '{"path":"/exports/7?all=1"}',
     ]);
-    const sent = agent.frames.filter((frame) => frame.t === 'dispatch');
-    expect(sent.map((frame) => [frame.class, frame.mayNotRepeat])).to.deep.equal([
+    const dispatches = agent.frames.filter((frame) => frame.t === 'dispatch');
+    expect(dispatches.map((frame) => [frame.class, frame.mayNotRepeat])).to.deep.equal([
       ['live', false],
       ['export', true],
     ]);
-    expect(sent[0]?.headers).not.to.have.property('authorization');
+    expect(dispatches[0]?.headers).not.to.have.property('authorization');
   });
 
   it('keeps mayNotRepeat of a route whatever class the caller names', async () => {
--- a/packages/plantaindrum/test/draining.test.ts
+++ b/packages/plantaindrum/test/draining.test.ts
@@ -2,7 +2,7 @@
 import type { Dispatch, Link, PeerFrame } from '@plantaindrum/link';
 import { runCli } from '../src/index.js';
 import type { FakeAgent } from './support/fake-agent.js';
-import { sendAnswer, idleLoad, startFakeAgent } from './support/fake-agent.js';
+import { idleLoad, sendAnswer, startFakeAgent } from './support/fake-agent.js';
 import type { TestSite } from './support/site.js';
 import { startSite, TOKEN, upstreamVm } from './support/site.js';
 
@@ -17,7 +17,7 @@
   frames.filter((frame) => frame.t === 'dispatch');
 
 describe('draining', () => {
-  const open: { close(): Promise<void> }[] = [];
+  const closeables: { close(): Promise<void> }[] = [];
   let kent: FakeAgent;
   let lynnwood: FakeAgent;
   let site: TestSite;
@@ -29,11 +29,11 @@
       upstreamVm('kent-u1', kent.address),
       upstreamVm('lynnwood-u1', lynnwood.address, inLynnwood),
     ]);
-    open.push(site, kent, lynnwood);
+    closeables.push(site, kent, lynnwood);
   };
 
   afterEach(async () => {
-    for (const part of open.splice(0)) await part.close();
+    for (const part of closeables.splice(0)) await part.close();
   });
 
   const callMany = async (count: number): Promise<void> => {
@@ -73,7 +73,7 @@
       upstreamVm('u1', kent.address, exports),
       upstreamVm('u2', lynnwood.address, { ...exports, data_centre: 'lynnwood' }),
     ]);
-    open.push(site, kent, lynnwood);
+    closeables.push(site, kent, lynnwood);
     const { status } = await site.call('/exports/1', { body: '{}' });
     expect([status, dispatches(lynnwood).length]).to.deep.equal([200, 1]);
   });
@@ -84,37 +84,37 @@
    * refused as not run later. The command ends only when no request is in flight.
    */
   it('stops a data centre without aborting a request', async () => {
-    const held: [Link, Dispatch][] = [];
+    const heldDispatches: [Link, Dispatch][] = [];
     await start((frame, link) => {
       if (frame.t !== 'dispatch') return;
-      if (frame.path.endsWith('?held')) held.push([link, frame]);
+      if (frame.path.endsWith('?held')) heldDispatches.push([link, frame]);
       else sendAnswer(link, frame, '{}');
     });
     const slow = site.call('/v1/completions?held', { body });
     await Promise.race([kent.next('dispatch'), lynnwood.next('dispatch')]);
     const lines: string[] = [];
-    let release = (): void => {};
-    const shown = new Promise<void>((resolve) => {
-      release = resolve;
+    let resolvePrinted = (): void => {};
+    const inFlightPrinted = new Promise<void>((resolve) => {
+      resolvePrinted = resolve;
     });
     const io = {
       out: (line: string) => {
         lines.push(line);
-        if (line.startsWith('in flight')) release();
+        if (line.startsWith('in flight')) resolvePrinted();
       },
       err: (line: string) => lines.push(line),
       env: { PLANTAINDRUM_OPERATORS: site.entry.operators, PLANTAINDRUM_TOKEN: TOKEN },
     };
-    const stop = runCli(['data-centre', 'stop', 'kent', '--author', 'op'], io);
-    await shown;
+    const stopCommand = runCli(['data-centre', 'stop', 'kent', '--author', 'op'], io);
+    await inFlightPrinted;
     expect((await site.operators('GET', '/ready')).status).to.equal(503);
     await callMany(4);
-    held.forEach(([link, dispatch]) => sendAnswer(link, dispatch, '{"whole":true}'));
+    heldDispatches.forEach(([link, dispatch]) => sendAnswer(link, dispatch, '{"whole":true}'));
     expect((await slow).text).to.equal('{"whole":true}');
-    expect(await stop).to.equal(0);
+    expect(await stopCommand).to.equal(0);
     expect(lines.at(-1)).to.equal('kent is stopped: nothing is in flight');
-    const late = await site.call('/v1/completions', { body });
-    expect([late.status, late.headers['x-plantaindrum-reason']]).to.deep.equal([
+    const afterStop = await site.call('/v1/completions', { body });
+    expect([afterStop.status, afterStop.headers['x-plantaindrum-reason']]).to.deep.equal([
       503,
       'data-centre-stopping',
     ]);
@@ -137,7 +137,7 @@
   it('refuses a request that only a stopped data centre could serve', async () => {
     lynnwood = await startFakeAgent(answerAll);
     site = await startSite([upstreamVm('lynnwood-u1', lynnwood.address, inLynnwood)]);
-    open.push(site, lynnwood);
+    closeables.push(site, lynnwood);
     const changes = [{ key: 'dataCentres/lynnwood', base: -1, value: { state: 'stopped' } }];
     await site.operators('POST', '/intent', { id: 'stop', author: 'op', changes });
     const { status, headers } = await site.call('/v1/completions', { body });
@@ -150,15 +150,15 @@
    * and the request in flight is completed before the servers close.
    */
   it('completes requests in flight before the entry closes', async () => {
-    const held: [Link, Dispatch][] = [];
+    const heldDispatches: [Link, Dispatch][] = [];
     await start((frame, link) => {
-      if (frame.t === 'dispatch') held.push([link, frame]);
+      if (frame.t === 'dispatch') heldDispatches.push([link, frame]);
     });
     const slow = site.call('/v1/completions', { body });
     await Promise.race([kent.next('dispatch'), lynnwood.next('dispatch')]);
     const drained = site.drain();
     expect((await site.operators('GET', '/ready')).status).to.equal(503);
-    held.forEach(([link, dispatch]) => sendAnswer(link, dispatch, '{"whole":true}'));
+    heldDispatches.forEach(([link, dispatch]) => sendAnswer(link, dispatch, '{"whole":true}'));
     expect((await slow).text).to.equal('{"whole":true}');
     await drained;
   });
--- a/packages/plantaindrum/test/requests.test.ts
+++ b/packages/plantaindrum/test/requests.test.ts
@@ -3,7 +3,7 @@
 import { expect } from 'chai';
 import type { Link, PeerFrame } from '@plantaindrum/link';
 import type { FakeAgent } from './support/fake-agent.js';
-import { sendAnswer, idleLoad, startFakeAgent } from './support/fake-agent.js';
+import { idleLoad, sendAnswer, startFakeAgent } from './support/fake-agent.js';
 import type { TestSite } from './support/site.js';
 import { startSite, upstreamVm } from './support/site.js';
 
@@ -24,7 +24,7 @@
   link.send({ t: 'unknown', id: frame.id, reason: 'upstream-broke-off', load: idleLoad });
 };
 
-const answer: AgentScript = (frame, link) => {
+const sendEmptyAnswer: AgentScript = (frame, link) => {
   if (frame.t === 'dispatch') sendAnswer(link, frame, '{}');
 };
 
@@ -39,7 +39,7 @@
 };
 
 describe('a request', () => {
-  const open: { close(): Promise<void> }[] = [];
+  const closeables: { close(): Promise<void> }[] = [];
   let agents: FakeAgent[];
 
   const start = async (
@@ -50,15 +50,15 @@
     agents = await Promise.all([startFakeAgent(script), startFakeAgent(script)]);
     const vms = agents.map(({ address }, index) => upstreamVm(`u${index}`, address, labels));
     const site = await startSite(vms, limits);
-    open.push(site, ...agents);
+    closeables.push(site, ...agents);
     return site;
   };
 
-  const sent = (): number =>
+  const dispatchCount = (): number =>
     agents.flatMap(({ frames }) => frames.filter(({ t }) => t === 'dispatch')).length;
 
   afterEach(async () => {
-    for (const part of open.splice(0)) await part.close();
+    for (const part of closeables.splice(0)) await part.close();
   });
 
   // The dispatch to each of the two upstreams is lost with its link. Both agents prove that nothing
@@ -77,7 +77,7 @@
     };
     const site = await start(loseTwoDispatches);
     const res = await site.call('/v1/completions', { body });
-    expect([res.status, sent()]).to.deep.equal([200, 3]);
+    expect([res.status, dispatchCount()]).to.deep.equal([200, 3]);
   });
 
   it('is refused at once with the Retry-After of the last agent', async () => {
@@ -85,13 +85,16 @@
     const { status, headers } = await site.call('/v1/completions', { body });
     expect([status, headers['retry-after']]).to.deep.equal([429, '7']);
     expect(headers['x-plantaindrum-outcome']).to.equal('not-run');
-    expect(sent()).to.equal(2);
+    expect(dispatchCount()).to.equal(2);
   });
 
   it('runs at another upstream after a proved "not run"', async () => {
-    const site = await start(firstThen(refuseWith('queue-full', 50), answer), exportsLabels);
+    const site = await start(
+      firstThen(refuseWith('queue-full', 50), sendEmptyAnswer),
+      exportsLabels,
+    );
     const { status } = await site.call('/exports/1', { body: '{}' });
-    expect([status, sent()]).to.deep.equal([200, 2]);
+    expect([status, dispatchCount()]).to.deep.equal([200, 2]);
     expect(site.metrics.counter('retries', { reason: 'queue-full' })).to.equal(1);
   });
 
@@ -100,17 +103,21 @@
    * no other upstream gets it, and the refusal reports the outcome as unknown.
    */
   it('is not retried after an unknown outcome when it may not be repeated', async () => {
-    const site = await start(firstThen(breakOff, answer), exportsLabels);
+    const site = await start(firstThen(breakOff, sendEmptyAnswer), exportsLabels);
     const { status, headers } = await site.call('/exports/1', { body: '{}' });
-    expect([status, headers['x-plantaindrum-outcome'], sent()]).to.deep.equal([502, 'unknown', 1]);
+    expect([status, headers['x-plantaindrum-outcome'], dispatchCount()]).to.deep.equal([
+      502,
+      'unknown',
+      1,
+    ]);
     expect(site.metrics.counter('retries_denied', { reason: 'may-not-repeat' })).to.equal(1);
   });
 
   it('is not retried after an unknown outcome when it has an idempotency key', async () => {
-    const site = await start(firstThen(breakOff, answer));
+    const site = await start(firstThen(breakOff, sendEmptyAnswer));
     const headers = { 'idempotency-key': 'k1' };
     const first = await site.call('/v1/completions', { body, headers });
-    expect([first.status, sent()]).to.deep.equal([502, 1]);
+    expect([first.status, dispatchCount()]).to.deep.equal([502, 1]);
   });
 
   /*
@@ -120,7 +127,11 @@
   it('keeps the outcome "unknown" when a retry did not run', async () => {
     const site = await start(firstThen(breakOff, refuseWith('deadline-unreachable', 50)));
     const { status, headers } = await site.call('/v1/completions', { body });
-    expect([status, headers['x-plantaindrum-outcome'], sent()]).to.deep.equal([502, 'unknown', 2]);
+    expect([status, headers['x-plantaindrum-outcome'], dispatchCount()]).to.deep.equal([
+      502,
+      'unknown',
+      2,
+    ]);
   });
 
   /*
@@ -128,7 +139,7 @@
    * refused as not run, and reaches no upstream; once a connection has closed, callers are served.
    */
   it('is refused, not reset, when it exceeds the connection limit', async () => {
-    const site = await start(answer, exportsLabels, { connections: 1 });
+    const site = await start(sendEmptyAnswer, exportsLabels, { connections: 1 });
     const { hostname, port } = new URL(site.entry.callers);
     const first = connect(Number(port), hostname);
     await once(first, 'connect');
@@ -137,7 +148,7 @@
     expect([status, headers['x-plantaindrum-reason']]).to.deep.equal([503, 'too-many-connections']);
     const counted = site.metrics.counter('requests_refused', { reason: 'too-many-connections' });
     expect(counted).to.equal(1);
-    expect(sent()).to.equal(0);
+    expect(dispatchCount()).to.equal(0);
     first.end();
     await once(first, 'close');
     expect((await site.call('/exports/2', { body: '{}' })).status).to.equal(200);
--- a/packages/plantaindrum/test/run-attempt.test.ts
+++ b/packages/plantaindrum/test/run-attempt.test.ts
@@ -3,7 +3,7 @@
 import type { AttemptId, PeerFrame } from '@plantaindrum/link';
 import { INITIAL_CREDIT_BYTES } from '@plantaindrum/link';
 import { defaultAttemptTimeouts, runAttempt } from '../src/core/attempts/run-attempt.js';
-import type { ResponseSink, DispatchPayload } from '../src/core/attempts/types.js';
+import type { DispatchPayload, ResponseSink } from '../src/core/attempts/types.js';
 import { createUpstream } from '../src/core/upstreams/upstream.js';
 import { idleLoad } from './support/fake-agent.js';
 import { createFakeLink } from './support/fake-link.js';
@@ -56,12 +56,12 @@
   const deliver = upstream.onLink(first.link);
   let disconnectCaller = (): void => {};
   let text = '';
-  let room: Promise<void> = Promise.resolve();
+  let callerReady: Promise<void> = Promise.resolve();
   const response: ResponseSink = {
     head: () => true,
     write: async (data) => {
       text += Buffer.from(data).toString();
-      await room;
+      await callerReady;
       return true;
     },
     end: () => true,
@@ -99,7 +99,7 @@
     /** Makes the caller read nothing until the returned function is called. */
     stallCaller: (): (() => void) => {
       let drain = (): void => {};
-      room = new Promise((resolve) => {
+      callerReady = new Promise((resolve) => {
         drain = resolve;
       });
       return drain;
--- a/packages/plantaindrum/test/starting.test.ts
+++ b/packages/plantaindrum/test/starting.test.ts
@@ -7,10 +7,10 @@
 import { startSite, upstreamVm } from './support/site.js';
 
 describe('start of an entry', () => {
-  const open: { close(): Promise<unknown> }[] = [];
+  const closeables: { close(): Promise<unknown> }[] = [];
 
   afterEach(async () => {
-    for (const part of open.splice(0)) await part.close();
+    for (const part of closeables.splice(0)) await part.close();
   });
 
   /** Starts a server that fails the first reads with 503 and then forwards to the given VM list. */
@@ -28,7 +28,7 @@
     await new Promise<void>((resolve) => {
       server.listen(0, '127.0.0.1', resolve);
     });
-    open.push({ close: async () => server.close() });
+    closeables.push({ close: async () => server.close() });
     const { port } = server.address() as AddressInfo;
     return (url: string): string => {
       target = url;
@@ -44,7 +44,7 @@
     });
     const list = await startFailingList(2);
     const site = await startSite([upstreamVm('kent-u1', agent.address)], {}, list);
-    open.push(site, agent);
+    closeables.push(site, agent);
     const body = JSON.stringify({ model: 'lot-writer', prompt: 'a car' });
     expect((await site.call('/v1/completions', { body })).status).to.equal(200);
   });
--- a/packages/plantaindrum/test/streams.test.ts
+++ b/packages/plantaindrum/test/streams.test.ts
@@ -31,7 +31,7 @@
   link.send({ t: 'end', id, length, load: idleLoad });
 };
 
-const unknown = ({ id }: Dispatch): PeerFrame => ({
+const unknownFrame = ({ id }: Dispatch): PeerFrame => ({
   t: 'unknown',
   id,
   reason: 'upstream-broke-off',
@@ -51,7 +51,7 @@
 };
 
 describe('a stream', () => {
-  const open: { close(): Promise<void> }[] = [];
+  const closeables: { close(): Promise<void> }[] = [];
 
   const startWith = async (
     ...scripts: ((frame: PeerFrame, link: Link) => void)[]
@@ -60,12 +60,12 @@
     const site = await startSite(
       agents.map(({ address }, index) => upstreamVm(`u${index}`, address)),
     );
-    open.push(site, ...agents);
+    closeables.push(site, ...agents);
     return { site, agents };
   };
 
   afterEach(async () => {
-    for (const part of open.splice(0)) await part.close();
+    for (const part of closeables.splice(0)) await part.close();
   });
 
   it('reaches the caller event by event, and ends after [DONE]', async () => {
@@ -94,7 +94,7 @@
     const { site } = await startWith((frame, link) => {
       if (frame.t !== 'dispatch') return;
       startStream(link, frame)(`${events(0, 2)}id: 2\nda`);
-      link.send(unknown(frame));
+      link.send(unknownFrame(frame));
     });
     const { text, broken } = await site.call('/v1/completions', { body });
     expect(broken).to.equal(true);
@@ -111,7 +111,7 @@
     const { site, agents } = await startWith((frame, link) => {
       if (frame.t !== 'dispatch') return;
       startStream(link, frame)(events(0, 2));
-      giveUp = () => link.send(unknown(frame));
+      giveUp = () => link.send(unknownFrame(frame));
     });
     const call = site.call('/v1/completions', { body });
     await agents[0]?.next('dispatch');
@@ -144,7 +144,7 @@
       const send = startStream(link, frame);
       if (frame.resumeAfter === undefined) {
         send(`${events(0, 2)}id: 2\nda`);
-        link.send(unknown(frame));
+        link.send(unknownFrame(frame));
         return;
       }
       const text = events(from, 5) + DONE;
@@ -156,8 +156,13 @@
     const { site, agents } = await startWith(failThenResumeFrom(2), failThenResumeFrom(2));
     const { text, broken } = await site.call('/v1/completions', { body });
     expect([text, broken]).to.deep.equal([events(0, 5) + DONE, false]);
-    const sent = agents.flatMap(({ frames }) => frames.filter((frame) => frame.t === 'dispatch'));
-    expect(sent.map(({ resumeAfter }) => resumeAfter ?? 'start')).to.have.members(['start', '1']);
+    const dispatches = agents.flatMap(({ frames }) =>
+      frames.filter((frame) => frame.t === 'dispatch'),
+    );
+    expect(dispatches.map(({ resumeAfter }) => resumeAfter ?? 'start')).to.have.members([
+      'start',
+      '1',
+    ]);
   });
 
   it('omits events that the resuming upstream repeats', async () => {
