--- a/packages/plantaindrum/src/cli/check/index.ts
+++ b/packages/plantaindrum/src/cli/check/index.ts
@@ -29,7 +29,7 @@
   }
 };
 
-/** Agent settings have an `upstream` key; intent files have none of the keys of settings. */
+/** Only agent settings have an `upstream` key; intent files have none of the keys of an entry. */
 const detectKind = (text: string): FileKind => {
   if (/"upstream"\s*:/.test(text)) return 'agent';
   return /"(node|platform|callers|link)"\s*:/.test(text) ? 'entry' : 'intent';
--- a/packages/plantaindrum/src/core/callers/drain-wait.ts
+++ b/packages/plantaindrum/src/core/callers/drain-wait.ts
@@ -1,7 +1,7 @@
 import type { ServerResponse } from 'node:http';
 import type { Clock, Metrics } from '@plantaindrum/common';
 
-/** Time after which a caller that reads none of its response is disconnected. */
+/** Longest time that a caller may leave its response unread before it is disconnected. */
 const STALLED_CALLER_TIMEOUT_MS = 60_000;
 
 /**
--- a/packages/plantaindrum/src/core/upstreams/directory.ts
+++ b/packages/plantaindrum/src/core/upstreams/directory.ts
@@ -43,7 +43,7 @@
   intervalMs: number;
 }
 
-interface ListedUpstream {
+interface KnownUpstream {
   upstream: Upstream;
   client: Pick<LinkClient, 'close'>;
 }
@@ -57,8 +57,8 @@
 export const createUpstreamDirectory = (options: UpstreamDirectoryOptions): UpstreamDirectory => {
   const { list, connect, clock, random, metrics, log, intervalMs } = options;
   const pause = createPause(clock);
-  const listed = new Map<string, ListedUpstream>();
-  const removed = new Set<ListedUpstream>();
+  const listed = new Map<string, KnownUpstream>();
+  const removed = new Set<KnownUpstream>();
   const membership = createMembership<Vm>({ clock, metrics });
   let vms: Vm[] = [];
   let lastList: Vm[] = [];
@@ -97,19 +97,19 @@
     log.info(`upstream ${vm.name} at ${vm.address} added`);
   };
 
-  const removeUpstream = (key: string, entry: ListedUpstream): void => {
+  const removeUpstream = (key: string, knownUpstream: KnownUpstream): void => {
     listed.delete(key);
-    removed.add(entry);
-    log.info(`upstream ${entry.upstream.vm().name} removed`);
+    removed.add(knownUpstream);
+    log.info(`upstream ${knownUpstream.upstream.vm().name} removed`);
   };
 
   /** A removed VM may still be serving: its link is closed after its last attempt has ended. */
   const closeIdleRemoved = (): void => {
     [...removed]
       .filter(({ upstream }) => upstream.outstanding() === 0)
-      .forEach((entry) => {
-        removed.delete(entry);
-        void entry.client.close();
+      .forEach((knownUpstream) => {
+        removed.delete(knownUpstream);
+        void knownUpstream.client.close();
       });
   };
 
@@ -119,10 +119,10 @@
     const wanted = new Map(
       next.filter((vm) => vm.role === 'upstream' && isWanted(vm)).map((vm) => [vmKey(vm), vm]),
     );
-    listed.forEach((entry, key) => {
+    listed.forEach((knownUpstream, key) => {
       const vm = wanted.get(key);
-      if (vm) entry.upstream.setVm(vm);
-      else removeUpstream(key, entry);
+      if (vm) knownUpstream.upstream.setVm(vm);
+      else removeUpstream(key, knownUpstream);
     });
     wanted.forEach((vm, key) => {
       if (!listed.has(key)) addUpstream(vm);
@@ -166,7 +166,7 @@
   };
 
   return {
-    upstreams: () => [...listed.values()].map((entry) => entry.upstream),
+    upstreams: () => [...listed.values()].map((knownUpstream) => knownUpstream.upstream),
     vms: () => vms,
     refresh,
     run: async () => {
@@ -178,8 +178,8 @@
     close: async () => {
       stopped = true;
       pause.end();
-      const entries = [...listed.values(), ...removed];
-      await Promise.all(entries.map((entry) => entry.client.close()));
+      const knownUpstreams = [...listed.values(), ...removed];
+      await Promise.all(knownUpstreams.map((knownUpstream) => knownUpstream.client.close()));
     },
   };
 };
--- a/packages/plantaindrum/test/support/fake-agent.ts
+++ b/packages/plantaindrum/test/support/fake-agent.ts
@@ -38,17 +38,17 @@
 ): Promise<FakeAgent> => {
   const frames: PeerFrame[] = [];
   const consumed = new Set<PeerFrame>();
-  const waiting = new Set<() => void>();
-  let current: Link | undefined;
+  const frameWaiters = new Set<() => void>();
+  let latestLink: Link | undefined;
 
   const wakeAll = (): void => {
-    waiting.forEach((resolve) => resolve());
-    waiting.clear();
+    frameWaiters.forEach((resolve) => resolve());
+    frameWaiters.clear();
   };
 
   const nextFrame = (): Promise<void> =>
     new Promise((resolve) => {
-      waiting.add(resolve);
+      frameWaiters.add(resolve);
     });
 
   const server = await createLinkServer({
@@ -67,7 +67,7 @@
       'node.status': async () => ({ inFlight: 0, intent: { offset: Number.MAX_SAFE_INTEGER } }),
     },
     onLink: (link) => {
-      current = link;
+      latestLink = link;
       return (frame) => {
         frames.push(frame);
         script(frame, link);
@@ -93,7 +93,7 @@
   return {
     address: `${server.address.host}:${server.address.port}`,
     frames,
-    link: () => current,
+    link: () => latestLink,
     next,
     close: server.close,
   };
--- a/packages/plantaindrum/test/support/fake-link.ts
+++ b/packages/plantaindrum/test/support/fake-link.ts
@@ -14,7 +14,7 @@
 /** Creates an open link to an agent of the given instance. */
 export const createFakeLink = (instance: string): FakeLink => {
   const sent: Frame[] = [];
-  const waiting = new Set<() => void>();
+  const sendWaiters = new Set<() => void>();
   let open = true;
   let resolveClosed: (reason: LinkCloseReason) => void = () => {};
   const closed = new Promise<LinkCloseReason>((resolve) => {
@@ -23,7 +23,7 @@
 
   const nextSend = (): Promise<void> =>
     new Promise((resolve) => {
-      waiting.add(resolve);
+      sendWaiters.add(resolve);
     });
 
   const link: Link = {
@@ -40,8 +40,8 @@
     send: (frame) => {
       if (!open) return false;
       sent.push(frame);
-      waiting.forEach((resolve) => resolve());
-      waiting.clear();
+      sendWaiters.forEach((resolve) => resolve());
+      sendWaiters.clear();
       return true;
     },
     drained: async () => {},
