--- a/packages/plantaindrum/src/cli/entry/index.ts
+++ b/packages/plantaindrum/src/cli/entry/index.ts
@@ -17,43 +17,54 @@
 import { startEntry } from '../../core/entry/entry.js';
 import type { Command } from '../command.js';
 import type { CliIo } from '../io.js';
-import { watchSignals } from './signals.js';
+import { captureSignals } from './signals.js';
 
-/** The ready line is not held back longer than this, so that operators can look at the doors. */
-const READY_LINE_MS = 5_000;
+/**
+ * Longest wait for readiness before the addresses are printed, so that operators can query an entry
+ * that is slow to become ready.
+ */
+const READY_LINE_TIMEOUT_MS = 5_000;
 
-const codeOf = (err: unknown): string => {
+const errorCode = (err: unknown): string => {
   const { code, message } = err as { code?: unknown; message?: unknown };
   return String(code ?? message ?? err);
 };
 
-const start = async (file: string, ...args: Parameters<typeof startEntry>): Promise<Entry> => {
+/** Starts the entry; throws `listen-failed` when it cannot listen on an address of the file. */
+const startEntryOrFail = async (
+  file: string,
+  ...args: Parameters<typeof startEntry>
+): Promise<Entry> => {
   try {
     return await startEntry(...args);
   } catch (err) {
     const address = `an address of ${file}`;
-    throw new PlantaindrumError('listen-failed', { address, detail: codeOf(err) }, { cause: err });
+    throw new PlantaindrumError(
+      'listen-failed',
+      { address, detail: errorCode(err) },
+      { cause: err },
+    );
   }
 };
 
-/** Serves until the first signal and the end of every request, or until the second signal. */
+/** Serves until the first signal, then drains; a second signal stops the drain. */
 const serve = async (file: string, settings: EntrySettings, io: CliIo): Promise<number> => {
-  const nextSignal = watchSignals();
+  const nextSignal = captureSignals();
   const log = createLogger(settings.node.name);
   const metrics = createMetrics();
   const deps = { clock: systemClock, random: systemRandom, metrics, log };
-  const entry = await start(file, settings, deps);
+  const entry = await startEntryOrFail(file, settings, deps);
   const signalled = nextSignal();
-  await Promise.race([entry.ready, sleep(systemClock, READY_LINE_MS), signalled]);
+  await Promise.race([entry.ready, sleep(systemClock, READY_LINE_TIMEOUT_MS), signalled]);
   const { callers, operators, link } = entry;
   io.out(JSON.stringify({ ready: entry.isReady(), callers, operators, link }));
-  log.info(`${await signalled}: requests in flight may end, a second signal ends at once`);
-  const second = nextSignal().then(() => exitCodes.endedEarly);
+  log.info(`${await signalled}: draining requests in flight, a second signal exits at once`);
+  const forced = nextSignal().then(() => exitCodes.endedEarly);
   const drained = entry.drain().then(() => exitCodes.ok);
-  return Promise.race([drained, second]);
+  return Promise.race([drained, forced]);
 };
 
-/** `plantaindrum entry`. */
+/** `plantaindrum entry`: runs the entry process. */
 export const entryCommand: Command<{ settings: string }> = {
   command: 'entry',
   describe: 'Serve callers: the process of an entry VM',
@@ -72,7 +83,7 @@
     try {
       return process.exit(await serve(file, settings.value, io));
     } catch (err) {
-      // What had been started before the failure would keep the process alive.
+      // Servers and timers that were started before the failure would keep the process alive.
       io.err(formatError(err));
       return process.exit(exitCodeOf(err));
     }
--- a/packages/plantaindrum/src/core/attempts/run-attempt.ts
+++ b/packages/plantaindrum/src/core/attempts/run-attempt.ts
@@ -1,4 +1,4 @@
-/** One attempt, from its dispatch to its outcome. */
+/** Runs one attempt at an upstream, from its dispatch to its outcome. */
 
 import type { Clock, Metrics, RefusalReason } from '@plantaindrum/common';
 import { isRefusalReason } from '@plantaindrum/common';
@@ -6,86 +6,94 @@
 import { INITIAL_CREDIT_BYTES } from '@plantaindrum/link';
 import type { AttemptEvent as RecordedEvent, RouteTicket } from '@plantaindrum/requests';
 import { createSentAttempt } from '@plantaindrum/requests';
-import { createInbox } from './inbox.js';
-import type { AnswerSink, AttemptEvent, AttemptOutcome, AttemptUpstream, Work } from './types.js';
-
-/** Times after which an attempt is given up, in milliseconds. */
-export interface AttemptTimes {
-  /** Wait for the same agent instance after a lost link. */
+import { createAsyncQueue } from './async-queue.js';
+import type {
+  AttemptEvent,
+  AttemptOutcome,
+  AttemptUpstream,
+  DispatchPayload,
+  ResponseSink,
+} from './types.js';
+
+/** Timeouts of an attempt, in milliseconds. */
+export interface AttemptTimeouts {
+  /** Wait for the same agent instance to reconnect after a lost link. */
   reconnectMs: number;
-  /** The same wait where the work may run elsewhere instead. */
+  /** The same wait when the request may run at another upstream instead. */
   reconnectRepeatableMs: number;
-  /** Longest silence of a linked agent before the attempt is cancelled. */
+  /** Longest time without a frame of the attempt, on an open link, before it is cancelled. */
   silenceMs: number;
-  /** Wait for the agent's word after a cancel. */
-  verdictMs: number;
+  /** Wait for the agent's reply to a cancel. */
+  cancelReplyMs: number;
 }
 
-/** Times that suit a round trip of a few milliseconds. */
-export const defaultAttemptTimes: AttemptTimes = {
+/** Timeouts for round trips of a few milliseconds. */
+export const defaultAttemptTimeouts: AttemptTimeouts = {
   reconnectMs: 2_000,
   reconnectRepeatableMs: 250,
   silenceMs: 60_000,
-  verdictMs: 1_000,
+  cancelReplyMs: 1_000,
 };
 
-/** What an attempt needs. */
+/** Options of an attempt. */
 export interface AttemptOptions {
   id: AttemptId;
   upstream: AttemptUpstream;
-  work: Work;
-  answer: AnswerSink;
-  /** Tells of the caller's end; the returned function ends that. */
-  onCallerGone: (fn: () => void) => () => void;
-  /** Whether the work may run again elsewhere, so that a silent agent need not be waited for. */
-  repeatable: boolean;
-  /** Tells routing how fast the upstream is. */
+  payload: DispatchPayload;
+  response: ResponseSink;
+  /** Calls `fn` when the caller disconnects; the returned function unsubscribes. */
+  onCallerDisconnect: (fn: () => void) => () => void;
+  /** Whether the request may run again at another upstream; a silent agent is then not awaited. */
+  mayRunElsewhere: boolean;
+  /** Reports the response times of the upstream to routing. */
   ticket: Pick<RouteTicket, 'started' | 'firstByte'>;
-  times: AttemptTimes;
+  timeouts: AttemptTimeouts;
   clock: Clock;
   metrics: Metrics;
 }
 
-const reasonOf = (text: string, otherwise: RefusalReason): RefusalReason =>
-  isRefusalReason(text) ? text : otherwise;
+const parseReason = (text: string, fallback: RefusalReason): RefusalReason =>
+  isRefusalReason(text) ? text : fallback;
 
-const UNREACHABLE_RETRY_MS = 1_000;
+const UNREACHABLE_RETRY_AFTER_MS = 1_000;
 
-/** Runs one attempt; never rejects. Frames that come after its end are dropped by the upstream. */
+/** Runs one attempt; never rejects. The upstream drops frames that arrive after its end. */
 export const runAttempt = async (options: AttemptOptions): Promise<AttemptOutcome> => {
-  const { id, upstream, work, answer, ticket, times, clock, metrics } = options;
+  const { id, upstream, payload, response, ticket, timeouts, clock, metrics } = options;
   const record = createSentAttempt(id);
-  const inbox = createInbox<AttemptEvent>();
+  const events = createAsyncQueue<AttemptEvent>();
   const instance = upstream.instance();
-  let received = 0;
-  let headSeen = false;
+  let receivedBytes = 0;
+  let headReceived = false;
   let cancelled = false;
   let linked = true;
-  let waiting = 0;
-  let overrun = false;
+  let unwrittenBytes = 0;
+  let creditExceeded = false;
   let stopTimer = (): void => {};
-  const reconnectMs = options.repeatable ? times.reconnectRepeatableMs : times.reconnectMs;
+  const reconnectMs = options.mayRunElsewhere
+    ? timeouts.reconnectRepeatableMs
+    : timeouts.reconnectMs;
 
   /**
-   * Bytes that wait for the caller stay within the credit. An agent that ignores it would fill this
-   * process's memory while a slow caller reads, so what exceeds it is dropped and the answer broken.
+   * Bytes waiting for the caller must stay within the credit. An agent that exceeded it would fill
+   * this process's memory behind a slow caller, so the excess is dropped and the attempt fails.
    */
   const push = (event: AttemptEvent): void => {
     if (event.t !== 'chunk') {
-      inbox.push(event);
+      events.push(event);
       return;
     }
-    if (overrun) return;
-    waiting += event.data.length;
-    overrun = waiting > INITIAL_CREDIT_BYTES;
-    inbox.push(overrun ? { t: 'overrun' } : event);
+    if (creditExceeded) return;
+    unwrittenBytes += event.data.length;
+    creditExceeded = unwrittenBytes > INITIAL_CREDIT_BYTES;
+    events.push(creditExceeded ? { t: 'overrun' } : event);
   };
 
-  const armTimer = (): void => {
+  const restartTimer = (): void => {
     stopTimer();
-    const quietMs = linked ? times.silenceMs : reconnectMs;
-    stopTimer = clock.after(cancelled ? times.verdictMs : quietMs, () =>
-      inbox.push({ t: 'timer' }),
+    const idleMs = linked ? timeouts.silenceMs : reconnectMs;
+    stopTimer = clock.after(cancelled ? timeouts.cancelReplyMs : idleMs, () =>
+      events.push({ t: 'timer' }),
     );
   };
 
@@ -94,120 +102,125 @@
     if (instance) upstream.cancel(id, instance);
   };
 
-  /** The record alone says whether the attempt provably did not run. */
-  const closeBy = (
+  /** Ends the attempt; only its recorded events can prove that it did not run. */
+  const closeWith = (
     event: RecordedEvent,
     reason: RefusalReason,
     retryAfterMs = 0,
   ): AttemptOutcome => {
     const step = record.apply(event);
-    const proved = step.step === 'closed' && step.outcome === 'not-run';
-    return proved ? { outcome: 'not-run', reason, retryAfterMs } : { outcome: 'unknown', reason };
+    const provedNotRun = step.step === 'closed' && step.outcome === 'not-run';
+    return provedNotRun
+      ? { outcome: 'not-run', reason, retryAfterMs }
+      : { outcome: 'unknown', reason };
   };
 
-  const giveUp = (reason: RefusalReason): AttemptOutcome => closeBy({ kind: 'gave-up' }, reason);
+  const giveUp = (reason: RefusalReason): AttemptOutcome => closeWith({ kind: 'gave-up' }, reason);
 
-  /** An answer that breaks the link's rules is never passed off as whole. */
-  const broken = (fault: string, reason: RefusalReason = 'upstream-broke-off'): AttemptOutcome => {
+  /** Fails an attempt whose response violates the protocol; it is never delivered as complete. */
+  const failInvalid = (
+    fault: string,
+    reason: RefusalReason = 'upstream-broke-off',
+  ): AttemptOutcome => {
     metrics.count('answer_broken', { fault });
     cancel();
     return giveUp(reason);
   };
 
-  const takeChunk = async (chunk: Chunk): Promise<AttemptOutcome | undefined> => {
-    if (!headSeen) return broken('chunk-before-head');
-    if (chunk.offset !== received) return broken('wrong-offset');
-    received += chunk.data.length;
-    if (!(await answer.write(chunk.data))) return broken('wrong-event');
-    waiting -= chunk.data.length;
+  const handleChunk = async (chunk: Chunk): Promise<AttemptOutcome | undefined> => {
+    if (!headReceived) return failInvalid('chunk-before-head');
+    if (chunk.offset !== receivedBytes) return failInvalid('wrong-offset');
+    receivedBytes += chunk.data.length;
+    if (!(await response.write(chunk.data))) return failInvalid('wrong-event');
+    unwrittenBytes -= chunk.data.length;
     upstream.credit(id, chunk.data.length);
     return undefined;
   };
 
-  const onTimer = (): AttemptOutcome | undefined => {
+  const handleTimeout = (): AttemptOutcome | undefined => {
     if (cancelled) return giveUp('answer-timeout');
-    // The agent may still find the attempt in its queue; the cancel leaves a tombstone either way.
+    // The attempt may still be queued at the agent; the cancel leaves a tombstone in any case.
     cancel();
     if (!linked) return giveUp('link-lost');
-    armTimer();
+    restartTimer();
     return undefined;
   };
 
   /**
-   * The same instance still knows the attempt, or puts a tombstone on an id that never reached it.
-   * Another instance has forgotten everything, so the outcome stays unknown.
+   * The same agent instance still knows the attempt, or records a tombstone for an id that never
+   * reached it. A new instance has no state of its predecessor, so the outcome stays unknown.
    */
-  const onLinkUp = (peerInstance: string): AttemptOutcome | undefined => {
+  const handleLinkUp = (peerInstance: string): AttemptOutcome | undefined => {
     linked = true;
-    if (peerInstance !== instance) return closeBy({ kind: 'instance-gone' }, 'agent-restarted');
+    if (peerInstance !== instance) return closeWith({ kind: 'instance-gone' }, 'agent-restarted');
     metrics.count('attempt_queried');
-    upstream.query(id, headSeen, received);
+    upstream.query(id, headReceived, receivedBytes);
     return undefined;
   };
 
-  const take = async (event: AttemptEvent): Promise<AttemptOutcome | undefined> => {
+  const handleEvent = async (event: AttemptEvent): Promise<AttemptOutcome | undefined> => {
     switch (event.t) {
       case 'started':
         record.apply({ kind: 'started' });
         ticket.started();
         return undefined;
       case 'head':
-        if (headSeen) return broken('second-head');
-        headSeen = true;
+        if (headReceived) return failInvalid('second-head');
+        headReceived = true;
         record.apply({ kind: 'progress' });
         ticket.firstByte();
-        return answer.head(event.status, event.headers) ? undefined : broken('wrong-head');
+        return response.head(event.status, event.headers) ? undefined : failInvalid('wrong-head');
       case 'chunk':
-        return takeChunk(event);
+        return handleChunk(event);
       case 'end':
-        if (!headSeen || event.length !== received) return broken('wrong-length');
-        return answer.end() ? { outcome: 'answered' } : broken('not-whole');
+        if (!headReceived || event.length !== receivedBytes) return failInvalid('wrong-length');
+        return response.end() ? { outcome: 'answered' } : failInvalid('not-whole');
       case 'not-run':
-        if (headSeen) return broken('not-run-after-head');
-        return closeBy(
+        if (headReceived) return failInvalid('not-run-after-head');
+        return closeWith(
           { kind: 'not-run' },
-          reasonOf(event.reason, 'upstream-unreachable'),
+          parseReason(event.reason, 'upstream-unreachable'),
           event.retryAfterMs,
         );
       case 'unknown':
-        return closeBy({ kind: 'unknown' }, reasonOf(event.reason, 'upstream-broke-off'));
+        return closeWith({ kind: 'unknown' }, parseReason(event.reason, 'upstream-broke-off'));
       case 'link-lost':
         linked = false;
         record.apply({ kind: 'link-lost' });
         return undefined;
       case 'silent':
-        // A frozen agent would cost the caller its target; repeatable work goes elsewhere in time.
-        return options.repeatable ? broken('agent-silent', 'link-lost') : undefined;
+        // Waiting for a frozen agent would miss the target, so a repeatable request is retried.
+        return options.mayRunElsewhere ? failInvalid('agent-silent', 'link-lost') : undefined;
       case 'link-up':
-        return onLinkUp(event.instance);
+        return handleLinkUp(event.instance);
       case 'caller-gone':
         cancel();
         return { outcome: 'caller-gone' };
       case 'overrun':
-        return broken('credit-exceeded');
+        return failInvalid('credit-exceeded');
       case 'timer':
-        return onTimer();
+        return handleTimeout();
       default:
         return undefined;
     }
   };
 
   const close = upstream.open(id, { push });
-  const offCaller = options.onCallerGone(() => inbox.push({ t: 'caller-gone' }));
+  const unsubscribeCaller = options.onCallerDisconnect(() => events.push({ t: 'caller-gone' }));
   try {
-    const sent = await upstream.dispatch({ t: 'dispatch', id, ...work });
+    const sent = await upstream.dispatch({ t: 'dispatch', id, ...payload });
     if (!sent) {
-      return closeBy({ kind: 'send-failed' }, 'upstream-unreachable', UNREACHABLE_RETRY_MS);
+      return closeWith({ kind: 'send-failed' }, 'upstream-unreachable', UNREACHABLE_RETRY_AFTER_MS);
     }
     record.apply({ kind: 'sent' });
     for (;;) {
-      armTimer();
-      const outcome = await take(await inbox.next());
+      restartTimer();
+      const outcome = await handleEvent(await events.next());
       if (outcome) return outcome;
     }
   } finally {
     stopTimer();
-    offCaller();
+    unsubscribeCaller();
     close();
   }
 };
--- /dev/null
+++ b/packages/plantaindrum/src/core/callers/caller-response.ts
@@ -0,0 +1,173 @@
+/** The response to one caller, written from the responses of one or more attempts. */
+
+import type { ServerResponse } from 'node:http';
+import type { Clock, Metrics, Refusal } from '@plantaindrum/common';
+import { refusalBody, refusalEvent, refusalHeaders, refusalStatus } from '@plantaindrum/common';
+import type { ResponseSink } from '../attempts/types.js';
+import { createDrainWait } from './drain-wait.js';
+import type { EventStreamParser, ServerSentEvent } from './event-stream-parser.js';
+import { createEventStreamParser } from './event-stream-parser.js';
+import { responseHeaders } from './headers.js';
+
+/** Responses up to this size are buffered until complete, so that a failure becomes a refusal. */
+const MAX_BUFFERED_BYTES = 1_048_576;
+
+/** The response to one request of a caller. */
+export interface CallerResponse {
+  /** Creates the sink of the next attempt; the previous sink must not be used any more. */
+  createSink(): ResponseSink;
+  /** Whether a part of a response has been sent to the caller. */
+  hasStarted(): boolean;
+  /** Id of the last event sent; undefined unless another attempt can resume the stream after it. */
+  resumeAfter(): string | undefined;
+  /** Sends the refusal, or aborts a response that has started; never ends it cleanly. */
+  refuse(refusal: Refusal): void;
+  /** HTTP status of the upstream's response, once known. */
+  status(): number | undefined;
+}
+
+/** Options of a response to a caller. */
+export interface CallerResponseOptions {
+  res: ServerResponse;
+  clock: Clock;
+  metrics: Metrics;
+  /** Whether a stream is complete only after `[DONE]` (OpenAI completions). */
+  requiresDone: boolean;
+  /** Called after each event of a stream, or when the first byte is sent. */
+  onSent: () => void;
+}
+
+const isEventStream = (headers: Record<string, string>): boolean =>
+  (headers['content-type'] ?? '').startsWith('text/event-stream');
+
+const parseEventNumber = (id: string | undefined): number | undefined =>
+  id !== undefined && /^\d+$/.test(id) ? Number(id) : undefined;
+
+/** Creates the response to one request. */
+export const createCallerResponse = (options: CallerResponseOptions): CallerResponse => {
+  const { res, clock, metrics, requiresDone, onSent } = options;
+  const waitForDrain = createDrainWait(res, clock, metrics);
+  let status: number | undefined;
+  let isStreaming = false;
+  let lastEventId: string | undefined;
+  let doneSeen = false;
+
+  const writeHead = (headers: Record<string, string>, length?: number): void => {
+    const hasLength = length !== undefined && status !== 204 && status !== 304;
+    res.writeHead(status ?? 200, {
+      ...responseHeaders(headers),
+      ...(hasLength && { 'content-length': String(length) }),
+    });
+  };
+
+  const writeEvent = (event: ServerSentEvent, headers: Record<string, string>): boolean => {
+    const eventNumber = parseEventNumber(event.id);
+    const lastNumber = parseEventNumber(lastEventId);
+    // An upstream that resumes too early repeats events; one that resumes too late leaves a gap.
+    if (eventNumber !== undefined && lastNumber !== undefined) {
+      if (eventNumber <= lastNumber) {
+        metrics.count('events_repeated');
+        return true;
+      }
+      if (eventNumber > lastNumber + 1) return false;
+    }
+    if (event.id !== undefined) lastEventId = event.id;
+    doneSeen ||= event.done;
+    if (!res.headersSent) writeHead(headers);
+    res.write(event.bytes);
+    onSent();
+    return true;
+  };
+
+  const streamSink = (headers: Record<string, string>): Pick<ResponseSink, 'write' | 'end'> => {
+    const parser: EventStreamParser = createEventStreamParser();
+    return {
+      write: async (data) => {
+        const inOrder = parser.push(data).every((event) => writeEvent(event, headers));
+        await waitForDrain();
+        return inOrder;
+      },
+      end: () => {
+        if (parser.pendingBytes() > 0 || (requiresDone && !doneSeen)) return false;
+        if (!res.headersSent) writeHead(headers);
+        res.end();
+        return true;
+      },
+    };
+  };
+
+  const bufferedSink = (headers: Record<string, string>): Pick<ResponseSink, 'write' | 'end'> => {
+    let buffered: Uint8Array[] = [];
+    let bufferedBytes = 0;
+    const flush = (): void => {
+      buffered.forEach((part) => res.write(part));
+      buffered = [];
+    };
+    return {
+      write: async (data) => {
+        buffered.push(data);
+        bufferedBytes += data.length;
+        if (bufferedBytes <= MAX_BUFFERED_BYTES) return true;
+        if (!res.headersSent) {
+          writeHead(headers);
+          onSent();
+        }
+        flush();
+        await waitForDrain();
+        return true;
+      },
+      end: () => {
+        if (!res.headersSent) {
+          writeHead(headers, bufferedBytes);
+          onSent();
+        }
+        flush();
+        res.end();
+        return true;
+      },
+    };
+  };
+
+  const createSink = (): ResponseSink => {
+    let body: Pick<ResponseSink, 'write' | 'end'> | undefined;
+    return {
+      head: (nextStatus, headers) => {
+        const isStream = isEventStream(headers) && nextStatus === 200;
+        if (res.headersSent) {
+          if (!isStreaming || !isStream) return false;
+          body = streamSink(headers);
+          return true;
+        }
+        status = nextStatus;
+        isStreaming = isStream;
+        body = isStream ? streamSink(headers) : bufferedSink(headers);
+        return true;
+      },
+      write: async (data) => (body ? body.write(data) : false),
+      end: () => body?.end() ?? false,
+    };
+  };
+
+  const refuse = (refusal: Refusal): void => {
+    if (!res.headersSent) {
+      const text = JSON.stringify(refusalBody(refusal));
+      res.writeHead(refusalStatus(refusal), refusalHeaders(refusal));
+      res.end(text);
+      return;
+    }
+    if (!isStreaming) {
+      res.destroy();
+      return;
+    }
+    // The event carries the reason; destroying the connection shows that the stream is incomplete.
+    res.write(refusalEvent(refusal), () => res.destroy());
+  };
+
+  return {
+    createSink,
+    hasStarted: () => res.headersSent,
+    resumeAfter: () => (isStreaming ? lastEventId : undefined),
+    refuse,
+    status: () => status,
+  };
+};
--- a/packages/plantaindrum/src/core/callers/room.ts
+++ b/packages/plantaindrum/src/core/callers/drain-wait.ts
@@ -1,14 +1,15 @@
 import type { ServerResponse } from 'node:http';
 import type { Clock, Metrics } from '@plantaindrum/common';
 
-/** Time that a caller may leave an answer unread, in milliseconds. */
-const MOST_UNREAD_MS = 60_000;
+/** Longest time that a caller may leave its response unread before it is disconnected. */
+const STALLED_CALLER_TIMEOUT_MS = 60_000;
 
 /**
- * Creates the wait until the caller has room for more, or has gone. A caller that stops reading but
- * stays connected would hold its place at the engine for good, so its connection is ended.
+ * Creates a function that waits until the response can take more bytes or its connection closes. A
+ * caller that stops reading but stays connected would occupy its slot at the engine forever, so its
+ * connection is closed after `STALLED_CALLER_TIMEOUT_MS`.
  */
-export const createRoom =
+export const createDrainWait =
   (res: ServerResponse, clock: Clock, metrics: Metrics): (() => Promise<void>) =>
   () =>
     new Promise((resolve) => {
@@ -16,7 +17,7 @@
         resolve();
         return;
       }
-      const cancel = clock.after(MOST_UNREAD_MS, () => {
+      const cancel = clock.after(STALLED_CALLER_TIMEOUT_MS, () => {
         metrics.count('callers_stalled');
         res.destroy();
       });
@@ -30,14 +31,14 @@
       res.on('close', done);
     });
 
-/** Resolves when the whole answer has left this process, or its caller has gone or stalled. */
-export const untilTaken = (res: ServerResponse, clock: Clock, metrics: Metrics): Promise<void> =>
+/** Resolves when the response has been sent, or the caller has disconnected or stalled. */
+export const waitUntilSent = (res: ServerResponse, clock: Clock, metrics: Metrics): Promise<void> =>
   new Promise((resolve) => {
     if (res.closed) {
       resolve();
       return;
     }
-    const cancel = clock.after(MOST_UNREAD_MS, () => {
+    const cancel = clock.after(STALLED_CALLER_TIMEOUT_MS, () => {
       metrics.count('callers_stalled');
       res.destroy();
     });
--- a/packages/plantaindrum/src/core/callers/event-splitter.ts
+++ b/packages/plantaindrum/src/core/callers/event-stream-parser.ts
@@ -1,9 +1,9 @@
-/** Splits server-sent events into whole events. */
+/** Parses a stream of server-sent events. */
 
 import { createEventCutter } from '@plantaindrum/common';
 
-/** One whole event with its blank line. */
-export interface WholeEvent {
+/** One complete event, including the blank line that ends it. */
+export interface ServerSentEvent {
   bytes: Buffer;
   /** Last `id` field of the event. */
   id?: string;
@@ -11,14 +11,14 @@
   done: boolean;
 }
 
-/** Collects bytes and gives out whole events. */
-export interface EventSplitter {
-  push(data: Uint8Array): WholeEvent[];
-  /** Bytes of an event that is not whole yet. */
-  pending(): number;
+/** Collects bytes and returns complete events. */
+export interface EventStreamParser {
+  push(data: Uint8Array): ServerSentEvent[];
+  /** Number of buffered bytes of an incomplete event. */
+  pendingBytes(): number;
 }
 
-const parseEvent = (bytes: Buffer): WholeEvent => {
+const parseEvent = (bytes: Buffer): ServerSentEvent => {
   const lines = bytes.toString('utf8').split(/\r?\n/);
   const ids = lines.filter((line) => line.startsWith('id:')).map((line) => line.slice(3).trim());
   const done = lines.some((line) => /^data: ?\[DONE\]$/.test(line));
@@ -26,11 +26,11 @@
   return { bytes, done, ...(id !== undefined && { id }) };
 };
 
-/** Creates an empty splitter. */
-export const createEventSplitter = (): EventSplitter => {
+/** Creates a parser for one stream. */
+export const createEventStreamParser = (): EventStreamParser => {
   const cutter = createEventCutter();
   return {
     push: (data) => cutter.push(data).map(parseEvent),
-    pending: cutter.pending,
+    pendingBytes: cutter.pending,
   };
 };
--- a/packages/plantaindrum/src/core/callers/read-body.ts
+++ b/packages/plantaindrum/src/core/callers/read-body.ts
@@ -2,8 +2,11 @@
 import type { Refusal, Result } from '@plantaindrum/common';
 import { fail, ok } from '@plantaindrum/common';
 
-/** How many times the limit is read and thrown away, so that the caller gets to read the refusal. */
-const DISCARD_FACTOR = 8;
+/**
+ * Multiple of the limit that is read and discarded, so that the caller can finish sending and read
+ * the refusal, before the connection is destroyed.
+ */
+const DISCARD_LIMIT_FACTOR = 8;
 
 const tooLarge = (limit: number): Refusal => ({ reason: 'body-too-large', data: { limit } });
 
@@ -11,11 +14,11 @@
   let discarded = 0;
   req.on('data', (data: Buffer) => {
     discarded += data.length;
-    if (discarded > limit * DISCARD_FACTOR) req.destroy();
+    if (discarded > limit * DISCARD_LIMIT_FACTOR) req.destroy();
   });
 };
 
-/** Reads a request's body of at most `limit` bytes; undefined when the caller broke off. */
+/** Reads a request body of at most `limit` bytes; undefined when the caller disconnected. */
 export const readBody = async (
   req: IncomingMessage,
   limit: number,
@@ -27,15 +30,15 @@
   return new Promise((resolve) => {
     const parts: Buffer[] = [];
     let length = 0;
-    const take = (data: Buffer): void => {
+    const onData = (data: Buffer): void => {
       parts.push(data);
       length += data.length;
       if (length <= limit) return;
-      req.off('data', take);
+      req.off('data', onData);
       discardRest(req, limit);
       resolve(fail(tooLarge(limit)));
     };
-    req.on('data', take);
+    req.on('data', onData);
     req.once('end', () => resolve(ok(Buffer.concat(parts))));
     req.once('error', () => resolve(undefined));
     req.once('close', () => resolve(undefined));
--- a/packages/plantaindrum/src/core/entry/readiness.ts
+++ b/packages/plantaindrum/src/core/entry/readiness.ts
@@ -1,60 +1,60 @@
-/** When this entry takes work, and what it tells the balancer in front of it. */
+/** Whether this entry accepts requests, and what its readiness probe reports. */
 
 import type { Clock, Logger, Refusal } from '@plantaindrum/common';
 import type { IntentReader } from '@plantaindrum/intent';
 import { isStopped } from '@plantaindrum/intent';
 
-/** Phases of an entry's life. */
+/** Lifecycle phases of an entry. */
 export type Phase = 'starting' | 'serving' | 'draining';
 
-/** Readiness of one entry. */
+/** Readiness state of an entry. */
 export interface Readiness {
   phase(): Phase;
   started(): void;
-  /** This VM is going: readiness fails from now on. */
+  /** The VM is being removed: readiness fails from now on. */
   drain(): void;
   /** Why `GET /ready` fails, if it does. */
   unready(): Refusal | undefined;
   /** Why new requests are refused, if they are. */
-  closedFor(): Refusal | undefined;
+  newRequestRefusal(): Refusal | undefined;
 }
 
-/** What readiness depends on. */
+/** Options of the readiness state. */
 export interface ReadinessOptions {
   dataCentre: string;
   intent: Pick<IntentReader, 'current' | 'freshness' | 'onChange'>;
   clock: Clock;
   log: Logger;
   /**
-   * Time between failing readiness and refusing requests, in milliseconds: the balancer in front
-   * needs a few probes to notice, and until then sends requests that must still be served.
+   * Time between failing readiness and refusing requests, in milliseconds. The load balancer in
+   * front needs a few probes to notice; requests that it sends until then must still be served.
    */
   noticeMs: number;
 }
 
 const notReady = (detail: string): Refusal => ({ reason: 'not-ready', data: { detail } });
 
-/** Creates the readiness of an entry that is starting. */
+/** Creates the readiness state of an entry that is starting. */
 export const createReadiness = (options: ReadinessOptions): Readiness => {
   const { dataCentre, intent, clock, log, noticeMs } = options;
   let phase: Phase = 'starting';
-  let refuseFrom = Infinity;
+  let refuseFromMs = Infinity;
   let stopped = false;
 
-  const notice = (): void => {
-    refuseFrom = clock.monotonic() + noticeMs;
+  const startNotice = (): void => {
+    refuseFromMs = clock.monotonic() + noticeMs;
   };
 
-  const followDataCentre = (): void => {
-    const now = isStopped(intent.current().document, dataCentre);
-    if (now === stopped) return;
-    stopped = now;
-    if (stopped) notice();
-    else if (phase !== 'draining') refuseFrom = Infinity;
-    log.info(`data centre ${dataCentre} ${stopped ? 'is stopping' : 'serves again'}`);
+  const applyDataCentreState = (): void => {
+    const isStoppedNow = isStopped(intent.current().document, dataCentre);
+    if (isStoppedNow === stopped) return;
+    stopped = isStoppedNow;
+    if (stopped) startNotice();
+    else if (phase !== 'draining') refuseFromMs = Infinity;
+    log.info(`data centre ${dataCentre} ${stopped ? 'is stopping' : 'is serving again'}`);
   };
 
-  const closedNow = (): Refusal | undefined => {
+  const currentRefusal = (): Refusal | undefined => {
     if (phase === 'draining') return notReady('this VM is leaving');
     if (stopped) return { reason: 'data-centre-stopping', data: { dataCentre } };
     if (!intent.freshness().caughtUp) return notReady("the operators' intent is not read yet");
@@ -63,18 +63,19 @@
   };
 
   /**
-   * An entry that hears neither the log nor a peer can't tell whether operators have changed the
-   * intent. It asks the balancer to prefer others, and serves on whoever still comes: with no agent
-   * in reach it can hardly serve a call by old intent, and a refusal would help nobody.
+   * An entry that reaches neither the log nor a peer can't tell whether the intent has changed. It
+   * fails the probe so that the load balancer prefers other entries, but serves requests that still
+   * arrive: with no agent in reach it can hardly serve one under an outdated intent, and refusing
+   * would gain nothing.
    */
   const unready = (): Refusal | undefined => {
-    const closed = closedNow();
-    if (closed || intent.freshness().state !== 'isolated') return closed;
+    const refusal = currentRefusal();
+    if (refusal || intent.freshness().state !== 'isolated') return refusal;
     return notReady("the operators' intent can't be confirmed: no log and no peer in reach");
   };
 
-  followDataCentre();
-  intent.onChange(followDataCentre);
+  applyDataCentreState();
+  intent.onChange(applyDataCentreState);
 
   return {
     phase: () => phase,
@@ -83,13 +84,13 @@
     },
     drain: () => {
       phase = 'draining';
-      notice();
+      startNotice();
     },
     unready,
-    closedFor: () => {
-      const leaving = phase === 'draining' || stopped;
-      if (leaving && clock.monotonic() < refuseFrom) return undefined;
-      return closedNow();
+    newRequestRefusal: () => {
+      const isStopping = phase === 'draining' || stopped;
+      if (isStopping && clock.monotonic() < refuseFromMs) return undefined;
+      return currentRefusal();
     },
   };
 };
--- a/packages/plantaindrum/src/core/operators/door.ts
+++ b/packages/plantaindrum/src/core/operators/operator-server.ts
@@ -1,4 +1,4 @@
-/** The operators' door: readiness, metrics, status and intent. */
+/** HTTP server for operators: readiness, metrics, status and intent. */
 
 import { createHash, timingSafeEqual } from 'node:crypto';
 import type { IncomingMessage, ServerResponse } from 'node:http';
@@ -11,26 +11,26 @@
 import { readBody } from '../callers/read-body.js';
 import { parseSubmission } from './submission.js';
 
-/** What the operators' door needs. */
-export interface OperatorsDoorOptions {
+/** Options of the operator server. */
+export interface OperatorServerOptions {
   listen: EntrySettings['operators'];
   limits: EntrySettings['limits'];
   intent: IntentReader;
-  /** Why the node takes no new work, if so. */
+  /** Why the node is not ready, if so. */
   unready: () => Refusal | undefined;
   status: () => unknown;
-  /** What nodes tell about themselves. */
+  /** Collects the reports of nodes. */
   reports: CollectReports;
   metrics: Metrics;
 }
 
-/** An open door. */
-export interface OperatorsDoor {
+/** A listening operator server. */
+export interface OperatorServer {
   url: string;
   close(): Promise<void>;
 }
 
-const STATUS_OF: Record<SubmitOutcome['outcome'], number> = {
+const STATUS_BY_OUTCOME: Record<SubmitOutcome['outcome'], number> = {
   accepted: 200,
   conflict: 409,
   invalid: 422,
@@ -44,10 +44,12 @@
   res.end(`${JSON.stringify(value)}\n`);
 };
 
-/** Opens the operators' door; rejects when the address can't be listened on. */
-export const openOperatorsDoor = async (options: OperatorsDoorOptions): Promise<OperatorsDoor> => {
+/** Starts the operator server; rejects when it cannot listen on the address. */
+export const createOperatorServer = async (
+  options: OperatorServerOptions,
+): Promise<OperatorServer> => {
   const { listen, limits, intent, unready, status, reports, metrics } = options;
-  const expected = digest(`Bearer ${listen.token}`);
+  const expectedDigest = digest(`Bearer ${listen.token}`);
 
   const refuse = (res: ServerResponse, refusal: Refusal): void => {
     metrics.count('operators_refused', { reason: refusal.reason });
@@ -75,29 +77,29 @@
     }
     const submission = parseSubmission(body.value);
     if (!submission.ok) {
-      sendJson(res, STATUS_OF.invalid, { outcome: 'invalid', faults: submission.err });
+      sendJson(res, STATUS_BY_OUTCOME.invalid, { outcome: 'invalid', faults: submission.err });
       return;
     }
     const outcome = await intent.submit(submission.value);
     metrics.count('intent_submissions', { outcome: outcome.outcome });
-    sendJson(res, STATUS_OF[outcome.outcome], outcome);
+    sendJson(res, STATUS_BY_OUTCOME[outcome.outcome], outcome);
   };
 
   const serve = async (req: IncomingMessage, res: ServerResponse): Promise<void> => {
     const { method = 'GET', url = '/' } = req;
     const { pathname, searchParams } = new URL(url, 'http://node');
-    const call = `${method} ${pathname}`;
-    if (call === 'GET /ready') return serveReady(res);
-    if (!timingSafeEqual(expected, digest(req.headers.authorization ?? ''))) {
+    const endpoint = `${method} ${pathname}`;
+    if (endpoint === 'GET /ready') return serveReady(res);
+    if (!timingSafeEqual(expectedDigest, digest(req.headers.authorization ?? ''))) {
       return refuse(res, { reason: 'operator-unauthorised' });
     }
-    if (call === 'GET /metrics') return serveMetrics(res);
-    if (call === 'GET /status') return sendJson(res, 200, status());
-    if (call === 'GET /nodes') {
+    if (endpoint === 'GET /metrics') return serveMetrics(res);
+    if (endpoint === 'GET /status') return sendJson(res, 200, status());
+    if (endpoint === 'GET /nodes') {
       return sendJson(res, 200, await reports(searchParams.get('data-centre') ?? undefined));
     }
-    if (call === 'GET /intent') return sendJson(res, 200, intent.current());
-    if (call === 'POST /intent') return submit(req, res);
+    if (endpoint === 'GET /intent') return sendJson(res, 200, intent.current());
+    if (endpoint === 'POST /intent') return submit(req, res);
     return refuse(res, { reason: 'operator-unknown-path', data: { method, path: pathname } });
   };
 
--- a/packages/plantaindrum/src/core/requests/types.ts
+++ b/packages/plantaindrum/src/core/requests/types.ts
@@ -1,17 +1,17 @@
 import type { Refusal } from '@plantaindrum/common';
-import type { RequestClass, Target } from '../callers/identify.js';
+import type { RequestClass, RequestTarget } from '../callers/identify.js';
 
-/** A request that has an organisation, a class and a target. */
+/** A request with its organisation, class and target. */
 export interface EntryRequest {
   organisation: string;
   class: RequestClass;
-  target: Target;
+  target: RequestTarget;
   method: string;
   path: string;
   headers: Record<string, string>;
   body: Buffer;
   idempotencyKey?: string;
-  /** Clock's monotonic time of arrival, in milliseconds. */
+  /** Monotonic time of arrival, in milliseconds. */
   arrivedAt: number;
 }
 
--- a/packages/plantaindrum/src/core/routing/entry-router.ts
+++ b/packages/plantaindrum/src/core/routing/entry-router.ts
@@ -1,4 +1,4 @@
-/** Joins routing to the VM list, the links and the operators' intent of this entry. */
+/** Connects the router to the VM list, the links and the operators' intent of this entry. */
 
 import type { Clock, Logger, Metrics, Random } from '@plantaindrum/common';
 import type { IntentDocument } from '@plantaindrum/intent';
@@ -7,28 +7,28 @@
 import type { Route, RouteTicket, UpstreamStatus } from '@plantaindrum/requests';
 import { createRouter, prefixHash } from '@plantaindrum/requests';
 import type { EntryRequest } from '../requests/types.js';
-import type { Upstream, UpstreamEvents } from '../upstreams/upstream.js';
+import type { Upstream, UpstreamEventHandlers } from '../upstreams/upstream.js';
 
-/** A chosen upstream with the ticket that reports on the request there. */
-export interface Chosen {
+/** A selected upstream with the ticket that reports the progress of the request to the router. */
+export interface SelectedUpstream {
   upstream: Upstream;
   ticket: RouteTicket;
 }
 
-/** Routing of one entry. */
+/** Router of one entry. */
 export interface EntryRouter {
-  choose(request: EntryRequest, tried: ReadonlySet<string>): Chosen | undefined;
-  /** Takes a list of VMs; the result says which upstreams this entry keeps links to. */
-  takeList(vms: readonly Vm[]): (vm: Vm) => boolean;
-  /** To be called when the intent has changed: data centres stop and start. */
-  intentChanged(): void;
-  eventsOf(vm: Vm): UpstreamEvents;
-  /** Ejects slow upstreams and lets them back; to be called about once a second. */
-  review(): void;
+  selectUpstream(request: EntryRequest, tried: ReadonlySet<string>): SelectedUpstream | undefined;
+  /** Applies a VM list; the result tells whether this entry keeps a link to an upstream. */
+  applyVmList(vms: readonly Vm[]): (vm: Vm) => boolean;
+  /** Applies stops and starts of data centres; to be called when the intent has changed. */
+  handleIntentChange(): void;
+  createEventHandlers(vm: Vm): UpstreamEventHandlers;
+  /** Ejects slow upstreams and readmits recovered ones; to be called about once a second. */
+  reviewHealth(): void;
   status(): UpstreamStatus[];
 }
 
-/** What routing needs. */
+/** Options of the entry router. */
 export interface EntryRouterOptions {
   self: { name: string; dataCentre: string; region: string };
   upstreams: () => Upstream[];
@@ -39,26 +39,26 @@
   log: Logger;
 }
 
-/** Models and services have names of their own; one of each may be called the same. */
-const targetOf = ({ kind, model, service }: Vm): string =>
+/** Models and services have separate namespaces: a model and a service may share a name. */
+const vmTarget = ({ kind, model, service }: Vm): string =>
   kind === 'model' ? `model/${model ?? ''}` : `service/${service ?? ''}`;
 
-const targetOfRequest = ({ target }: EntryRequest): string =>
+const requestTarget = ({ target }: EntryRequest): string =>
   target.kind === 'model' ? `model/${target.model}` : `service/${target.service}`;
 
-/** Creates the routing of one entry. */
+/** Creates the router of one entry. */
 export const createEntryRouter = (options: EntryRouterOptions): EntryRouter => {
   const { self, document, clock, random, metrics, log } = options;
   const { name: id, dataCentre, region } = self;
   const router = createRouter({ clock, random, self: { id, dataCentre, region } });
   const unlinked = new Set<string>();
-  const owners = new Map<string, symbol>();
+  const linkOwners = new Map<string, symbol>();
   let vms: readonly Vm[] = [];
   const ramp = createReturnRamp({ clock, random });
 
   const upstreamVms = (): Vm[] => vms.filter(({ role }) => role === 'upstream');
 
-  const update = (): void => {
+  const updateRouter = (): void => {
     router.setEntries(
       vms.filter(({ role }) => role === 'entry').map((vm) => ({ ...vm, id: vm.name })),
     );
@@ -67,48 +67,48 @@
         id: vm.name,
         dataCentre: vm.dataCentre,
         region: vm.region,
-        target: targetOf(vm),
+        target: vmTarget(vm),
         leaving: vm.state === 'leaving' || !mayDispatch(document(), dataCentre, vm.dataCentre),
       })),
     );
   };
 
-  /** A data centre that has just been started again gets only a part of the work at first. */
-  const notAdmitted = (): string[] => {
+  /** Upstreams of restarted data centres that the ramp holds back: traffic returns gradually. */
+  const heldBackUpstreams = (): string[] => {
     const names = new Set(Object.keys(document().dataCentres).filter((name) => !ramp.admits(name)));
     return names.size === 0
       ? []
       : upstreamVms().flatMap((vm) => (names.has(vm.dataCentre) ? vm.name : []));
   };
 
-  const drop = (name: string): void => {
-    owners.delete(name);
+  const forgetUpstream = (name: string): void => {
+    linkOwners.delete(name);
     unlinked.delete(name);
   };
 
   const findUpstream = (name: string): Upstream | undefined =>
     options.upstreams().find((upstream) => upstream.vm().name === name);
 
-  const prefixOf = ({ target }: EntryRequest): string | undefined =>
+  const promptPrefix = ({ target }: EntryRequest): string | undefined =>
     target.kind === 'model' ? prefixHash(target.prompt) : undefined;
 
-  const routeOf = (request: EntryRequest, tried: ReadonlySet<string>): Route => {
-    const prefix = prefixOf(request);
-    const excluding = (names: Iterable<string>): Route =>
+  const selectRoute = (request: EntryRequest, tried: ReadonlySet<string>): Route => {
+    const prefix = promptPrefix(request);
+    const routeExcluding = (names: Iterable<string>): Route =>
       router.choose({
-        target: targetOfRequest(request),
+        target: requestTarget(request),
         exclude: new Set([...tried, ...unlinked, ...names]),
         ...(prefix !== undefined && { prefix }),
       });
-    const held = notAdmitted();
-    const route = excluding(held);
-    // Work that nobody else can take goes to the returning data centre whatever its share.
-    return route.upstream === undefined && held.length > 0 ? excluding([]) : route;
+    const heldBack = heldBackUpstreams();
+    const route = routeExcluding(heldBack);
+    // A request that no other upstream can serve goes to one that is held back.
+    return route.upstream === undefined && heldBack.length > 0 ? routeExcluding([]) : route;
   };
 
   return {
-    choose: (request, tried) => {
-      const route = routeOf(request, tried);
+    selectUpstream: (request, tried) => {
+      const route = selectRoute(request, tried);
       if (route.upstream === undefined) {
         metrics.count('route_refused', { reason: route.reason });
         return undefined;
@@ -118,42 +118,42 @@
       metrics.count('routes', { method: route.method });
       return { upstream, ticket: router.dispatched(route.upstream) };
     },
-    takeList: (next) => {
+    applyVmList: (next) => {
       vms = next;
-      update();
-      const targets = new Set(upstreamVms().map(targetOf));
+      updateRouter();
+      const targets = new Set(upstreamVms().map(vmTarget));
       const kept = new Set([...targets].flatMap(router.subset));
-      [...owners.keys()].filter((name) => !kept.has(name)).forEach(drop);
+      [...linkOwners.keys()].filter((name) => !kept.has(name)).forEach(forgetUpstream);
       return (vm) => kept.has(vm.name);
     },
-    intentChanged: () => {
+    handleIntentChange: () => {
       ramp.follow(document());
-      update();
+      updateRouter();
     },
-    eventsOf: ({ name }) => {
-      // A VM that comes back under its name at another address has a new link; what the old link
-      // still tells, above all its end, must not count against the new one.
+    createEventHandlers: ({ name }) => {
+      // A VM that returns under the same name at another address has a new link. Events of the old
+      // link, above all its end, must not be applied to the new one.
       const owner = Symbol(name);
-      owners.set(name, owner);
+      linkOwners.set(name, owner);
       unlinked.add(name);
-      const ifOwner = (fn: () => void): void => {
-        if (owners.get(name) === owner) fn();
+      const ifCurrentOwner = (fn: () => void): void => {
+        if (linkOwners.get(name) === owner) fn();
       };
       return {
-        load: (load) => ifOwner(() => router.load(name, load)),
-        leaving: () => ifOwner(() => router.leaving(name)),
+        load: (load) => ifCurrentOwner(() => router.load(name, load)),
+        leaving: () => ifCurrentOwner(() => router.leaving(name)),
         linked: (linked) =>
-          ifOwner(() => {
+          ifCurrentOwner(() => {
             router.silent(name, !linked);
             if (linked) unlinked.delete(name);
             else unlinked.add(name);
           }),
       };
     },
-    review: () =>
+    reviewHealth: () =>
       router.review().forEach(({ upstream, from, to, reason }) => {
         metrics.count('upstream_health', { to, reason });
-        log.info(`upstream ${upstream} goes from ${from} to ${to}: ${reason}`);
+        log.info(`upstream ${upstream} changed from ${from} to ${to}: ${reason}`);
       }),
     status: router.status,
   };
--- a/packages/plantaindrum/src/core/upstreams/directory.ts
+++ b/packages/plantaindrum/src/core/upstreams/directory.ts
@@ -1,74 +1,77 @@
-/** The upstreams that this entry knows, from the platform's lagging list and its own links. */
+/** The upstreams that this entry knows, from the platform's VM list, which lags, and its links. */
 
 import type { Clock, Logger, Metrics, Random } from '@plantaindrum/common';
 import { createPause } from '@plantaindrum/common';
 import { createMembership, dialDelayMs } from '@plantaindrum/intent';
 import type { FrameHandler, Link, LinkClient } from '@plantaindrum/link';
 import type { Vm, VmListClient } from '@plantaindrum/service-clients';
-import type { Upstream, UpstreamEvents } from './upstream.js';
+import type { Upstream, UpstreamEventHandlers } from './upstream.js';
 import { createUpstream } from './upstream.js';
 
-/** Keeps a link to an agent; the result ends it. */
+/** Opens a link to an agent and keeps it connected until the result is closed. */
 export type ConnectAgent = (
   vm: Vm,
   onLink: (link: Link) => FrameHandler,
 ) => Pick<LinkClient, 'close'>;
 
-/** The upstreams known to this entry. */
-export interface Directory {
-  /** Every upstream of the list that this entry keeps a link to, whether it is up or not. */
+/** Directory of the upstreams of an entry. */
+export interface UpstreamDirectory {
+  /** Every listed upstream that this entry keeps a link to, whether or not the link is open. */
   upstreams(): Upstream[];
-  /** Every VM of the last list, entries included. */
+  /** Every VM of the current list, including entries. */
   vms(): Vm[];
-  /** Reads the list once; false when it did not answer. */
+  /** Reads the VM list once; false when the read failed. */
   refresh(): Promise<boolean>;
-  /** Reads the list until `close`. */
+  /** Polls the VM list until `close`. */
   run(): Promise<void>;
   close(): Promise<void>;
 }
 
-/** What a directory needs. */
-export interface DirectoryOptions {
+/** Options of the upstream directory. */
+export interface UpstreamDirectoryOptions {
   list: Pick<VmListClient, 'list'>;
   connect: ConnectAgent;
   clock: Clock;
   random: Random;
   metrics: Metrics;
   log: Logger;
-  /** Told of each list; the result says which upstreams of it this entry keeps links to. */
-  onList: (vms: readonly Vm[]) => (vm: Vm) => boolean;
-  /** Takes what the link of one upstream tells. */
-  eventsOf: (vm: Vm) => UpstreamEvents;
-  /** Time between two reads of the list, in milliseconds. */
+  /** Called with each new list; the result tells whether this entry keeps a link to an upstream. */
+  applyVmList: (vms: readonly Vm[]) => (vm: Vm) => boolean;
+  /** Creates the handlers for the events of one upstream. */
+  createEventHandlers: (vm: Vm) => UpstreamEventHandlers;
+  /** Mean time between two reads of the list, in milliseconds. */
   intervalMs: number;
 }
 
-interface Entry {
+interface KnownUpstream {
   upstream: Upstream;
   client: Pick<LinkClient, 'close'>;
 }
 
-/** Hellos that an agent takes in beside its work without making requests wait. */
-const ACCEPTS_PER_SECOND = 200;
+/** New links that an agent can accept per second without delaying requests. */
+const AGENT_ACCEPTS_PER_SECOND = 200;
 
-const keyOf = (vm: Vm): string => `${vm.name}@${vm.address}`;
+const vmKey = (vm: Vm): string => `${vm.name}@${vm.address}`;
 
-/** Creates a directory that knows nobody yet. */
-export const createDirectory = (options: DirectoryOptions): Directory => {
+/** Creates an empty directory. */
+export const createUpstreamDirectory = (options: UpstreamDirectoryOptions): UpstreamDirectory => {
   const { list, connect, clock, random, metrics, log, intervalMs } = options;
   const pause = createPause(clock);
-  const listed = new Map<string, Entry>();
-  const forgotten = new Set<Entry>();
+  const listed = new Map<string, KnownUpstream>();
+  const removed = new Set<KnownUpstream>();
   const membership = createMembership<Vm>({ clock, metrics });
   let vms: Vm[] = [];
-  let lastRead: Vm[] = [];
-  let listAnswers = true;
+  let lastList: Vm[] = [];
+  let listReachable = true;
   let stopped = false;
 
-  /** When a whole data centre appears in the list, every entry would dial each of its agents at once. */
-  const connectLater: ConnectAgent = (vm, onLink) => {
+  /**
+   * Spreads new links over time: when a data centre appears in the list, all entries would
+   * otherwise connect to each of its agents at once.
+   */
+  const connectAfterDelay: ConnectAgent = (vm, onLink) => {
     const dialers = vms.filter(({ role }) => role === 'entry').length;
-    const delayMs = dialDelayMs({ dialers, acceptsPerSecond: ACCEPTS_PER_SECOND, random });
+    const delayMs = dialDelayMs({ dialers, acceptsPerSecond: AGENT_ACCEPTS_PER_SECOND, random });
     if (delayMs === 0) return connect(vm, onLink);
     let client: Pick<LinkClient, 'close'> | undefined;
     const cancel = clock.after(delayMs, () => {
@@ -82,88 +85,88 @@
     };
   };
 
-  const add = (vm: Vm): void => {
-    const upstream = createUpstream(vm, metrics, options.eventsOf(vm));
+  const addUpstream = (vm: Vm): void => {
+    const upstream = createUpstream(vm, metrics, options.createEventHandlers(vm));
     const onLink = (link: Link): FrameHandler => {
       const { instance } = link.peer;
       membership.linked(vm.name, instance);
       void link.closed.then(() => membership.unlinked(vm.name, instance));
       return upstream.onLink(link);
     };
-    listed.set(keyOf(vm), { upstream, client: connectLater(vm, onLink) });
-    log.info(`upstream ${vm.name} at ${vm.address} appeared`);
+    listed.set(vmKey(vm), { upstream, client: connectAfterDelay(vm, onLink) });
+    log.info(`upstream ${vm.name} at ${vm.address} added`);
   };
 
-  const forget = (key: string, entry: Entry): void => {
+  const removeUpstream = (key: string, knownUpstream: KnownUpstream): void => {
     listed.delete(key);
-    forgotten.add(entry);
-    log.info(`upstream ${entry.upstream.vm().name} left the list`);
+    removed.add(knownUpstream);
+    log.info(`upstream ${knownUpstream.upstream.vm().name} removed`);
   };
 
-  /** A VM that the list forgot may still be answering: its link ends after its last attempt. */
-  const closeForgotten = (): void => {
-    [...forgotten]
+  /** A removed VM may still be serving: its link is closed after its last attempt has ended. */
+  const closeIdleRemoved = (): void => {
+    [...removed]
       .filter(({ upstream }) => upstream.outstanding() === 0)
-      .forEach((entry) => {
-        forgotten.delete(entry);
-        void entry.client.close();
+      .forEach((knownUpstream) => {
+        removed.delete(knownUpstream);
+        void knownUpstream.client.close();
       });
   };
 
-  const take = (next: Vm[]): void => {
+  const applyList = (next: Vm[]): void => {
     vms = next;
-    const isWanted = options.onList(next);
+    const isWanted = options.applyVmList(next);
     const wanted = new Map(
-      next.filter((vm) => vm.role === 'upstream' && isWanted(vm)).map((vm) => [keyOf(vm), vm]),
+      next.filter((vm) => vm.role === 'upstream' && isWanted(vm)).map((vm) => [vmKey(vm), vm]),
     );
-    listed.forEach((entry, key) => {
+    listed.forEach((knownUpstream, key) => {
       const vm = wanted.get(key);
-      if (vm) entry.upstream.setVm(vm);
-      else forget(key, entry);
+      if (vm) knownUpstream.upstream.setVm(vm);
+      else removeUpstream(key, knownUpstream);
     });
     wanted.forEach((vm, key) => {
-      if (!listed.has(key)) add(vm);
+      if (!listed.has(key)) addUpstream(vm);
     });
-    closeForgotten();
+    closeIdleRemoved();
   };
 
-  /** The list as far as the links don't contradict it: it lags, and may have lost its records. */
-  const believed = (next: Vm[]): Vm[] => {
+  /** Keeps linked VMs that are missing from the list: it lags, and may have lost records. */
+  const reconcileWithLinks = (next: Vm[]): Vm[] => {
     membership.listed(next.filter(({ role }) => role === 'upstream'));
     const upstreams = membership.members().filter(({ standing }) => standing !== 'forgotten');
     return [...next.filter(({ role }) => role === 'entry'), ...upstreams.map(({ vm }) => vm)];
   };
 
-  /** Nothing follows from a list that was read before, unless a VM missing from it is waited for. */
-  const isNews = (next: Vm[]): boolean => {
-    if (next !== lastRead) return true;
+  /** An unchanged list needs no work, unless the removal of a missing VM is still pending. */
+  const needsUpdate = (next: Vm[]): boolean => {
+    if (next !== lastList) return true;
     const names = new Set(next.map(({ name }) => name));
     return vms.some(({ name }) => !names.has(name));
   };
 
-  const takeRead = (next: Vm[]): void => {
-    if (!isNews(next)) {
+  const handleList = (next: Vm[]): void => {
+    if (!needsUpdate(next)) {
       metrics.count('vm_list_unchanged');
-      closeForgotten();
+      closeIdleRemoved();
       return;
     }
-    lastRead = next;
-    take(believed(next));
+    lastList = next;
+    applyList(reconcileWithLinks(next));
   };
 
-  /** An outage of the list is no reason to drop upstreams that still answer. */
+  /** While the list is unreachable, the known upstreams are kept. */
   const refresh = async (): Promise<boolean> => {
-    const read = await list.list();
+    const result = await list.list();
     if (stopped) return true;
-    if (read.ok !== listAnswers) log.warn(`VM list ${read.ok ? 'answers again' : 'is down'}`);
-    listAnswers = read.ok;
-    if (read.ok) takeRead(read.value);
-    else metrics.count('vm_list_failed', { kind: read.err.kind });
-    return read.ok;
+    if (result.ok !== listReachable) log.warn(`VM list ${result.ok ? 'reachable' : 'unreachable'}`);
+    listReachable = result.ok;
+    if (result.ok) handleList(result.value);
+    else metrics.count('vm_list_failed', { kind: result.err.kind });
+    return result.ok;
   };
 
   return {
-    upstreams: () => [...listed.values()].map((entry) => entry.upstream),
+    upstreams: () => [...listed.values()].map((knownUpstream) => knownUpstream.upstream),
     vms: () => vms,
     refresh,
     run: async () => {
@@ -175,8 +178,8 @@
     close: async () => {
       stopped = true;
       pause.end();
-      const entries = [...listed.values(), ...forgotten];
-      await Promise.all(entries.map((entry) => entry.client.close()));
+      const knownUpstreams = [...listed.values(), ...removed];
+      await Promise.all(knownUpstreams.map((knownUpstream) => knownUpstream.client.close()));
     },
   };
 };
--- a/packages/plantaindrum/src/core/upstreams/upstream.ts
+++ b/packages/plantaindrum/src/core/upstreams/upstream.ts
@@ -1,42 +1,43 @@
-/** One upstream as this entry sees it: its agent's link, its load, and the attempts open there. */
+/** One upstream: the link to its agent, its last known load and its open attempts. */
 
 import type { Metrics } from '@plantaindrum/common';
 import type { AttemptId, FrameHandler, Link, Load, PeerFrame } from '@plantaindrum/link';
 import type { Vm } from '@plantaindrum/service-clients';
 import type { AttemptUpstream, OpenAttempt } from '../attempts/types.js';
 
-const MOST_PENDING_CANCELS = 1_024;
+/** Cancels kept for an agent until it reconnects; further ones are dropped. */
+const MAX_PENDING_CANCELS = 1_024;
 
-/** Time between two looks at an upstream's silence, in milliseconds. */
-export const SILENCE_TICK_MS = 200;
+/** Time between two checks for silent upstreams. */
+export const SILENCE_CHECK_INTERVAL_MS = 200;
 
 /**
- * Ticks without any frame after which an agent counts as silent. Pongs come every 500 ms, so three
- * are usual; ticks are counted and not time, because a process that was itself frozen has read
- * nothing for long and must not blame its upstreams.
+ * Consecutive checks without any frame after which an agent counts as silent. Pongs arrive every
+ * 500 ms, so up to three are normal. Checks are counted instead of time: an entry that was itself
+ * frozen has read no frames for a while and must not count its upstreams as silent.
  */
-const SILENT_TICKS = 5;
+const SILENT_AFTER_CHECKS = 5;
 
-const noEvents: UpstreamEvents = { load: () => {}, leaving: () => {}, linked: () => {} };
+const noHandlers: UpstreamEventHandlers = { load: () => {}, leaving: () => {}, linked: () => {} };
 
-/** An upstream with its agent's link. */
+/** An upstream with the link to its agent. */
 export interface Upstream extends AttemptUpstream {
-  /** The VM as the platform's list last showed it. */
+  /** The VM as of the latest VM list. */
   vm(): Vm;
   setVm(vm: Vm): void;
   link(): Link | undefined;
-  /** Attempts of this entry that are open there. */
+  /** Number of open attempts of this entry at the upstream. */
   outstanding(): number;
-  /** The agent or the list says that no new work may go there. */
+  /** Whether the agent or the VM list says that the upstream takes no new requests. */
   leaving(): boolean;
-  /** To be called every `SILENCE_TICK_MS`: finds out whether the agent still says anything. */
-  tick(): void;
-  /** Takes each new link; the result takes its frames. */
+  /** Detects a silent agent; to be called every `SILENCE_CHECK_INTERVAL_MS`. */
+  checkSilence(): void;
+  /** Attaches a new link; the result handles its frames. */
   onLink(link: Link): FrameHandler;
 }
 
-/** What routing learns from an upstream's link. */
-export interface UpstreamEvents {
+/** Handlers by which routing follows the link of an upstream. */
+export interface UpstreamEventHandlers {
   load(load: Load): void;
   leaving(): void;
   linked(linked: boolean): void;
@@ -44,63 +45,63 @@
 
 /** Creates an upstream without a link. */
 export const createUpstream = (
-  first: Vm,
+  initialVm: Vm,
   metrics: Metrics,
-  events: UpstreamEvents = noEvents,
+  handlers: UpstreamEventHandlers = noHandlers,
 ): Upstream => {
-  let vm = first;
+  let vm = initialVm;
   let link: Link | undefined;
   let load: Load | undefined;
   let agentLeaving = false;
   let lastInstance: string | undefined;
-  let quietTicks = 0;
+  let quietChecks = 0;
   let silent = false;
   const attempts = new Map<AttemptId, OpenAttempt>();
   const pendingCancels = new Map<AttemptId, string>();
 
-  const noteLoad = (next: Load): void => {
+  const applyLoad = (next: Load): void => {
     load = next;
     agentLeaving = next.leaving;
-    events.load(next);
+    handlers.load(next);
   };
 
-  const heard = (): void => {
-    quietTicks = 0;
+  const resetSilence = (): void => {
+    quietChecks = 0;
     if (!silent) return;
     silent = false;
-    events.linked(true);
+    handlers.linked(true);
   };
 
-  const tick = (): void => {
+  const checkSilence = (): void => {
     if (!link || silent) return;
-    quietTicks += 1;
-    if (quietTicks < SILENT_TICKS) return;
+    quietChecks += 1;
+    if (quietChecks < SILENT_AFTER_CHECKS) return;
     silent = true;
     metrics.count('upstream_silent');
-    events.linked(false);
+    handlers.linked(false);
     attempts.forEach((attempt) => attempt.push({ t: 'silent' }));
   };
 
-  const deliver = (frame: PeerFrame): void => {
-    heard();
-    if ('load' in frame && frame.load) noteLoad(frame.load);
+  const handleFrame = (frame: PeerFrame): void => {
+    resetSilence();
+    if ('load' in frame && frame.load) applyLoad(frame.load);
     if (frame.t === 'leaving') {
       agentLeaving = true;
-      events.leaving();
+      handlers.leaving();
       return;
     }
     if (!('id' in frame) || frame.t === 'dispatch') return;
     if (frame.t === 'cancel' || frame.t === 'query' || frame.t === 'credit') return;
     const attempt = attempts.get(frame.id);
     if (attempt) attempt.push(frame);
-    // A late frame must not reach another request: ids are never used twice, so it ends here.
+    // Ids are never reused, so a late frame can belong to no other attempt and is dropped.
     else metrics.count('frames_for_closed_attempt', { frame: frame.t });
   };
 
-  const onDown = (ended: Link): void => {
-    if (link !== ended) return;
+  const handleLinkClosed = (closedLink: Link): void => {
+    if (link !== closedLink) return;
     link = undefined;
-    events.linked(false);
+    handlers.linked(false);
     attempts.forEach((attempt) => attempt.push({ t: 'link-lost' }));
   };
 
@@ -116,18 +117,18 @@
     const { instance } = next.peer;
     if (instance !== lastInstance) agentLeaving = false;
     lastInstance = instance;
-    quietTicks = 0;
+    quietChecks = 0;
     silent = false;
-    events.linked(true);
-    void next.closed.then(() => onDown(next));
+    handlers.linked(true);
+    void next.closed.then(() => handleLinkClosed(next));
     sendPendingCancels(next);
     attempts.forEach((attempt) => attempt.push({ t: 'link-up', instance }));
-    return deliver;
+    return handleFrame;
   };
 
   const cancel = (id: AttemptId, instance: string): void => {
     if (link?.peer.instance === instance && link.send({ t: 'cancel', id })) return;
-    if (pendingCancels.size < MOST_PENDING_CANCELS) pendingCancels.set(id, instance);
+    if (pendingCancels.size < MAX_PENDING_CANCELS) pendingCancels.set(id, instance);
     else metrics.count('cancels_dropped');
   };
 
@@ -141,17 +142,17 @@
     load: () => load,
     outstanding: () => attempts.size,
     leaving: () => agentLeaving || vm.state === 'leaving',
-    tick,
+    checkSilence,
     onLink,
     open: (id, attempt) => {
       attempts.set(id, attempt);
       return () => attempts.delete(id);
     },
     dispatch: async (frame) => {
-      const chosen = link;
-      if (!chosen) return false;
-      await chosen.drained();
-      const isSent = chosen.send(frame);
+      const target = link;
+      if (!target) return false;
+      await target.drained();
+      const isSent = target.send(frame);
       if (isSent) metrics.count('dispatches', { upstream: vm.name });
       return isSent;
     },
--- a/packages/plantaindrum/test/callers-door.test.ts
+++ b/packages/plantaindrum/test/caller-server.test.ts
@@ -1,18 +1,18 @@
 import { expect } from 'chai';
 import type { FakeAgent } from './support/fake-agent.js';
-import { answerWith, startFakeAgent } from './support/fake-agent.js';
+import { sendAnswer, startFakeAgent } from './support/fake-agent.js';
 import type { TestSite } from './support/site.js';
 import { startSite, upstreamVm } from './support/site.js';
 
 const prompt = JSON.stringify({ model: 'lot-writer', prompt: 'a car' });
 
-describe("callers' door", () => {
+describe('caller server', () => {
   let agent: FakeAgent;
   let site: TestSite;
 
   before(async () => {
     agent = await startFakeAgent((frame, link) => {
-      if (frame.t === 'dispatch') answerWith(link, frame, `{"path":"${frame.path}"}`);
+      if (frame.t === 'dispatch') sendAnswer(link, frame, `{"path":"${frame.path}"}`);
     });
     const service = { kind: 'service', service: 'exports' };
     site = await startSite(
@@ -26,28 +26,28 @@
     await agent.close();
   });
 
-  it('passes a completion and a call of a plain service through', async () => {
+  it('forwards completions and calls of a service', async () => {
     const completion = await site.call('/v1/completions', { body: prompt });
     const call = await site.call('/exports/7?all=1', { method: 'GET' });
     expect([completion.text, call.text]).to.deep.equal([
       '{"path":"/v1/completions"}',
       '{"path":"/exports/7?all=1"}',
     ]);
-    const sent = agent.frames.filter((frame) => frame.t === 'dispatch');
-    expect(sent.map((frame) => [frame.class, frame.mayNotRepeat])).to.deep.equal([
+    const dispatches = agent.frames.filter((frame) => frame.t === 'dispatch');
+    expect(dispatches.map((frame) => [frame.class, frame.mayNotRepeat])).to.deep.equal([
       ['live', false],
       ['export', true],
     ]);
-    expect(sent[0]?.headers).not.to.have.property('authorization');
+    expect(dispatches[0]?.headers).not.to.have.property('authorization');
   });
 
-  it('keeps a route to calls that may not be repeated so, whatever class the caller names', async () => {
+  it('keeps mayNotRepeat of a route whatever class the caller names', async () => {
     await site.call('/exports/8', { headers: { 'x-plantaindrum-class': 'live' } });
     const last = agent.frames.filter((frame) => frame.t === 'dispatch').at(-1);
     expect([last?.class, last?.mayNotRepeat]).to.deep.equal(['live', true]);
   });
 
-  it('knows no class by the name of something every object has', async () => {
+  it('does not take an inherited property for a class', async () => {
     const headers = { 'x-plantaindrum-class': 'constructor' };
     const { status } = await site.call('/v1/completions', { headers, body: prompt });
     expect(status).to.equal(400);
--- a/packages/plantaindrum/test/leaving.test.ts
+++ b/packages/plantaindrum/test/draining.test.ts
@@ -2,7 +2,7 @@
 import type { Dispatch, Link, PeerFrame } from '@plantaindrum/link';
 import { runCli } from '../src/index.js';
 import type { FakeAgent } from './support/fake-agent.js';
-import { answerWith, idle, startFakeAgent } from './support/fake-agent.js';
+import { idleLoad, sendAnswer, startFakeAgent } from './support/fake-agent.js';
 import type { TestSite } from './support/site.js';
 import { startSite, TOKEN, upstreamVm } from './support/site.js';
 
@@ -10,14 +10,14 @@
 const inLynnwood = { kind: 'model', model: 'lot-writer', data_centre: 'lynnwood' };
 
 const answerAll = (frame: PeerFrame, link: Link): void => {
-  if (frame.t === 'dispatch') answerWith(link, frame, '{}');
+  if (frame.t === 'dispatch') sendAnswer(link, frame, '{}');
 };
 
 const dispatches = ({ frames }: FakeAgent): Dispatch[] =>
   frames.filter((frame) => frame.t === 'dispatch');
 
-describe('leaving', () => {
-  const open: { close(): Promise<void> }[] = [];
+describe('draining', () => {
+  const closeables: { close(): Promise<void> }[] = [];
   let kent: FakeAgent;
   let lynnwood: FakeAgent;
   let site: TestSite;
@@ -29,11 +29,11 @@
       upstreamVm('kent-u1', kent.address),
       upstreamVm('lynnwood-u1', lynnwood.address, inLynnwood),
     ]);
-    open.push(site, kent, lynnwood);
+    closeables.push(site, kent, lynnwood);
   };
 
   afterEach(async () => {
-    for (const part of open.splice(0)) await part.close();
+    for (const part of closeables.splice(0)) await part.close();
   });
 
   const callMany = async (count: number): Promise<void> => {
@@ -43,14 +43,14 @@
   };
 
   /*
-   * The agent says that it leaves while the platform's list still shows it as live. From that frame
-   * on nothing new goes there, and callers notice nothing.
+   * The agent reports that it is leaving while the VM list still shows it as live. After that frame
+   * it gets no new requests, and every caller is served by the other upstream.
    */
-  it('sends nothing new to an upstream that says so, whatever the list shows', async () => {
+  it('sends no new requests to an upstream whose agent reports that it is leaving', async () => {
     await start(answerAll);
     await callMany(4);
     kent.link()?.send({ t: 'leaving' });
-    // The answer to this call comes after the frame on the same link, so the frame has been read.
+    // The reply follows the frame on the same link, so the entry has handled the frame by then.
     await kent.link()?.call('node.status', {}, 2_000);
     const before = dispatches(kent).length;
     await callMany(8);
@@ -58,73 +58,73 @@
   });
 
   /*
-   * Work that a leaving agent hands back did not run, so it runs at another upstream, even a call
-   * that may not be repeated.
+   * A request that a leaving agent returns did not run, so it is retried at another upstream, even
+   * when it may not be repeated.
    */
-  it('runs work elsewhere that was handed back', async () => {
-    const handBack = (frame: PeerFrame, link: Link): void => {
+  it('retries a request elsewhere that a leaving agent reports as not run', async () => {
+    const returnAsNotRun = (frame: PeerFrame, link: Link): void => {
       if (frame.t !== 'dispatch') return;
-      link.send({ t: 'not-run', id: frame.id, reason: 'leaving', retryAfterMs: 0, load: idle });
+      link.send({ t: 'not-run', id: frame.id, reason: 'leaving', retryAfterMs: 0, load: idleLoad });
     };
-    kent = await startFakeAgent(handBack);
+    kent = await startFakeAgent(returnAsNotRun);
     lynnwood = await startFakeAgent(answerAll);
     const exports = { kind: 'service', service: 'exports' };
     site = await startSite([
       upstreamVm('u1', kent.address, exports),
       upstreamVm('u2', lynnwood.address, { ...exports, data_centre: 'lynnwood' }),
     ]);
-    open.push(site, kent, lynnwood);
+    closeables.push(site, kent, lynnwood);
     const { status } = await site.call('/exports/1', { body: '{}' });
     expect([status, dispatches(lynnwood).length]).to.deep.equal([200, 1]);
   });
 
   /*
-   * An operator stops the entry's own data centre under load. Readiness fails at once, the request
-   * in flight is answered whole, what the balancer still sends is served, and later refused as not
-   * run; the command ends only when nothing is in flight.
+   * An operator stops the data centre of the entry under load. Readiness fails at once, the request
+   * in flight is completed, and requests that the load balancer still sends are served at first and
+   * refused as not run later. The command ends only when no request is in flight.
    */
-  it('stops a data centre without cutting a request', async () => {
-    const held: [Link, Dispatch][] = [];
+  it('stops a data centre without aborting a request', async () => {
+    const heldDispatches: [Link, Dispatch][] = [];
     await start((frame, link) => {
       if (frame.t !== 'dispatch') return;
-      if (frame.path.endsWith('?held')) held.push([link, frame]);
-      else answerWith(link, frame, '{}');
+      if (frame.path.endsWith('?held')) heldDispatches.push([link, frame]);
+      else sendAnswer(link, frame, '{}');
     });
     const slow = site.call('/v1/completions?held', { body });
     await Promise.race([kent.next('dispatch'), lynnwood.next('dispatch')]);
     const lines: string[] = [];
-    let release = (): void => {};
-    const shown = new Promise<void>((resolve) => {
-      release = resolve;
+    let resolvePrinted = (): void => {};
+    const inFlightPrinted = new Promise<void>((resolve) => {
+      resolvePrinted = resolve;
     });
     const io = {
       out: (line: string) => {
         lines.push(line);
-        if (line.startsWith('in flight')) release();
+        if (line.startsWith('in flight')) resolvePrinted();
       },
       err: (line: string) => lines.push(line),
       env: { PLANTAINDRUM_OPERATORS: site.entry.operators, PLANTAINDRUM_TOKEN: TOKEN },
     };
-    const stop = runCli(['data-centre', 'stop', 'kent', '--author', 'op'], io);
-    await shown;
+    const stopCommand = runCli(['data-centre', 'stop', 'kent', '--author', 'op'], io);
+    await inFlightPrinted;
     expect((await site.operators('GET', '/ready')).status).to.equal(503);
     await callMany(4);
-    held.forEach(([link, dispatch]) => answerWith(link, dispatch, '{"whole":true}'));
+    heldDispatches.forEach(([link, dispatch]) => sendAnswer(link, dispatch, '{"whole":true}'));
     expect((await slow).text).to.equal('{"whole":true}');
-    expect(await stop).to.equal(0);
+    expect(await stopCommand).to.equal(0);
     expect(lines.at(-1)).to.equal('kent is stopped: nothing is in flight');
-    const late = await site.call('/v1/completions', { body });
-    expect([late.status, late.headers['x-plantaindrum-reason']]).to.deep.equal([
+    const afterStop = await site.call('/v1/completions', { body });
+    expect([afterStop.status, afterStop.headers['x-plantaindrum-reason']]).to.deep.equal([
       503,
       'data-centre-stopping',
     ]);
 
-    const startAgain = await runCli(['data-centre', 'start', 'kent', '--author', 'op'], io);
-    expect(startAgain).to.equal(0);
+    const startExitCode = await runCli(['data-centre', 'start', 'kent', '--author', 'op'], io);
+    expect(startExitCode).to.equal(0);
     expect((await site.operators('GET', '/ready')).status).to.equal(200);
   });
 
-  it('sends nothing new to another data centre that is stopped', async () => {
+  it('sends no new requests to another data centre that is stopped', async () => {
     await start(answerAll);
     const value = { state: 'stopped' };
     const changes = [{ key: 'dataCentres/lynnwood', base: -1, value }];
@@ -134,10 +134,10 @@
     expect(dispatches(lynnwood).length).to.equal(before);
   });
 
-  it('refuses rather than use a stopped data centre that alone could serve', async () => {
+  it('refuses a request that only a stopped data centre could serve', async () => {
     lynnwood = await startFakeAgent(answerAll);
     site = await startSite([upstreamVm('lynnwood-u1', lynnwood.address, inLynnwood)]);
-    open.push(site, lynnwood);
+    closeables.push(site, lynnwood);
     const changes = [{ key: 'dataCentres/lynnwood', base: -1, value: { state: 'stopped' } }];
     await site.operators('POST', '/intent', { id: 'stop', author: 'op', changes });
     const { status, headers } = await site.call('/v1/completions', { body });
@@ -146,19 +146,19 @@
   });
 
   /*
-   * SIGTERM at an entry: readiness fails first, so that the balancer moves on; what is in flight is
-   * answered whole before the doors close.
+   * An entry is drained, as on SIGTERM: readiness fails first, so that the load balancer moves on,
+   * and the request in flight is completed before the servers close.
    */
-  it('lets requests end before the entry closes', async () => {
-    const held: [Link, Dispatch][] = [];
+  it('completes requests in flight before the entry closes', async () => {
+    const heldDispatches: [Link, Dispatch][] = [];
     await start((frame, link) => {
-      if (frame.t === 'dispatch') held.push([link, frame]);
+      if (frame.t === 'dispatch') heldDispatches.push([link, frame]);
     });
     const slow = site.call('/v1/completions', { body });
     await Promise.race([kent.next('dispatch'), lynnwood.next('dispatch')]);
     const drained = site.drain();
     expect((await site.operators('GET', '/ready')).status).to.equal(503);
-    held.forEach(([link, dispatch]) => answerWith(link, dispatch, '{"whole":true}'));
+    heldDispatches.forEach(([link, dispatch]) => sendAnswer(link, dispatch, '{"whole":true}'));
     expect((await slow).text).to.equal('{"whole":true}');
     await drained;
   });
--- a/packages/plantaindrum/test/requests.test.ts
+++ b/packages/plantaindrum/test/requests.test.ts
@@ -3,33 +3,33 @@
 import { expect } from 'chai';
 import type { Link, PeerFrame } from '@plantaindrum/link';
 import type { FakeAgent } from './support/fake-agent.js';
-import { answerWith, idle, startFakeAgent } from './support/fake-agent.js';
+import { idleLoad, sendAnswer, startFakeAgent } from './support/fake-agent.js';
 import type { TestSite } from './support/site.js';
 import { startSite, upstreamVm } from './support/site.js';
 
 const body = JSON.stringify({ model: 'lot-writer', prompt: 'a car' });
-const exportsOf = { kind: 'service', service: 'exports' };
+const exportsLabels = { kind: 'service', service: 'exports' };
 
-type Script = (frame: PeerFrame, link: Link) => void;
+type AgentScript = (frame: PeerFrame, link: Link) => void;
 
 const refuseWith =
-  (reason: 'queue-full' | 'deadline-unreachable', retryAfterMs: number): Script =>
+  (reason: 'queue-full' | 'deadline-unreachable', retryAfterMs: number): AgentScript =>
   (frame, link) => {
     if (frame.t !== 'dispatch') return;
-    link.send({ t: 'not-run', id: frame.id, reason, retryAfterMs, load: idle });
+    link.send({ t: 'not-run', id: frame.id, reason, retryAfterMs, load: idleLoad });
   };
 
-const breakOff: Script = (frame, link) => {
+const breakOff: AgentScript = (frame, link) => {
   if (frame.t !== 'dispatch') return;
-  link.send({ t: 'unknown', id: frame.id, reason: 'upstream-broke-off', load: idle });
+  link.send({ t: 'unknown', id: frame.id, reason: 'upstream-broke-off', load: idleLoad });
 };
 
-const answer: Script = (frame, link) => {
-  if (frame.t === 'dispatch') answerWith(link, frame, '{}');
+const sendEmptyAnswer: AgentScript = (frame, link) => {
+  if (frame.t === 'dispatch') sendAnswer(link, frame, '{}');
 };
 
-/** The first dispatch that any of the agents gets is served by one script, later ones by another. */
-const firstThen = (first: Script, later: Script): Script => {
+/** Handles the first dispatch to any of the agents by one script, and later ones by another. */
+const firstThen = (first: AgentScript, later: AgentScript): AgentScript => {
   let count = 0;
   return (frame, link) => {
     if (frame.t !== 'dispatch') return;
@@ -38,97 +38,108 @@
   };
 };
 
-describe('requests', () => {
-  const open: { close(): Promise<void> }[] = [];
+describe('a request', () => {
+  const closeables: { close(): Promise<void> }[] = [];
   let agents: FakeAgent[];
 
   const start = async (
-    script: Script,
+    script: AgentScript,
     labels?: Record<string, string>,
     limits: Record<string, number> = {},
   ): Promise<TestSite> => {
     agents = await Promise.all([startFakeAgent(script), startFakeAgent(script)]);
     const vms = agents.map(({ address }, index) => upstreamVm(`u${index}`, address, labels));
     const site = await startSite(vms, limits);
-    open.push(site, ...agents);
+    closeables.push(site, ...agents);
     return site;
   };
 
-  const sent = (): number =>
+  const dispatchCount = (): number =>
     agents.flatMap(({ frames }) => frames.filter(({ t }) => t === 'dispatch')).length;
 
   afterEach(async () => {
-    for (const part of open.splice(0)) await part.close();
+    for (const part of closeables.splice(0)) await part.close();
   });
 
-  // The links to both upstreams break under the dispatch, one after the other. Each agent proves
-  // that nothing arrived and is linked again, so the caller's approval can still be served; it was
-  // refused before, since an upstream that had been tried was never asked again.
-  it('go again to an upstream that a dispatch never reached, where no other is left', async () => {
+  // The dispatch to each of the two upstreams is lost with its link. Both agents prove that nothing
+  // arrived and reconnect, so the request can still be served. An entry that never retried an
+  // upstream would refuse it.
+  it('is retried at an upstream that a dispatch never reached when no other is left', async () => {
     let lost = 0;
-    const loseTwo: Script = (frame, link) => {
+    const loseTwoDispatches: AgentScript = (frame, link) => {
       if (frame.t !== 'dispatch') return;
       lost += 1;
-      if (lost > 2) answerWith(link, frame, '{}');
+      if (lost > 2) sendAnswer(link, frame, '{}');
       else {
         const reason = 'never-arrived';
-        link.send({ t: 'not-run', id: frame.id, reason, retryAfterMs: 0, load: idle });
+        link.send({ t: 'not-run', id: frame.id, reason, retryAfterMs: 0, load: idleLoad });
       }
     };
-    const site = await start(loseTwo);
+    const site = await start(loseTwoDispatches);
     const res = await site.call('/v1/completions', { body });
-    expect([res.status, sent()]).to.deep.equal([200, 3]);
+    expect([res.status, dispatchCount()]).to.deep.equal([200, 3]);
   });
 
-  it('are refused at once with the Retry-After of the last agent', async () => {
+  it('is refused at once with the Retry-After of the last agent', async () => {
     const site = await start(refuseWith('queue-full', 6_500));
     const { status, headers } = await site.call('/v1/completions', { body });
     expect([status, headers['retry-after']]).to.deep.equal([429, '7']);
     expect(headers['x-plantaindrum-outcome']).to.equal('not-run');
-    expect(sent()).to.equal(2);
+    expect(dispatchCount()).to.equal(2);
   });
 
-  it('run at another upstream after a proved "not run"', async () => {
-    const site = await start(firstThen(refuseWith('queue-full', 50), answer), exportsOf);
+  it('runs at another upstream after a proved "not run"', async () => {
+    const site = await start(
+      firstThen(refuseWith('queue-full', 50), sendEmptyAnswer),
+      exportsLabels,
+    );
     const { status } = await site.call('/exports/1', { body: '{}' });
-    expect([status, sent()]).to.deep.equal([200, 2]);
+    expect([status, dispatchCount()]).to.deep.equal([200, 2]);
     expect(site.metrics.counter('retries', { reason: 'queue-full' })).to.equal(1);
   });
 
   /*
-   * The upstream broke off after it was given a call that may not be repeated. The call may have
-   * had its effect: no other upstream gets it, and the caller is told that nobody knows.
+   * The upstream breaks off a call that may not be repeated. The call may have had its effect, so
+   * no other upstream gets it, and the refusal reports the outcome as unknown.
    */
-  it('that may not be repeated go to no second upstream while the outcome is unknown', async () => {
-    const site = await start(firstThen(breakOff, answer), exportsOf);
+  it('is not retried after an unknown outcome when it may not be repeated', async () => {
+    const site = await start(firstThen(breakOff, sendEmptyAnswer), exportsLabels);
     const { status, headers } = await site.call('/exports/1', { body: '{}' });
-    expect([status, headers['x-plantaindrum-outcome'], sent()]).to.deep.equal([502, 'unknown', 1]);
+    expect([status, headers['x-plantaindrum-outcome'], dispatchCount()]).to.deep.equal([
+      502,
+      'unknown',
+      1,
+    ]);
     expect(site.metrics.counter('retries_denied', { reason: 'may-not-repeat' })).to.equal(1);
   });
 
-  it('with an idempotency key are not repeated either', async () => {
-    const site = await start(firstThen(breakOff, answer));
+  it('is not retried after an unknown outcome when it has an idempotency key', async () => {
+    const site = await start(firstThen(breakOff, sendEmptyAnswer));
     const headers = { 'idempotency-key': 'k1' };
     const first = await site.call('/v1/completions', { body, headers });
-    expect([first.status, sent()]).to.deep.equal([502, 1]);
+    expect([first.status, dispatchCount()]).to.deep.equal([502, 1]);
   });
 
   /*
-   * The first attempt may have run, the second provably did not. Together the request may have
-   * run, so the refusal says "unknown" although the last agent said "not run".
+   * The first attempt may have run, the second provably did not. The request as a whole may have
+   * run, so the refusal reports "unknown" although the last agent reported "not run".
    */
-  it('stay unknown when a retry did not run', async () => {
+  it('keeps the outcome "unknown" when a retry did not run', async () => {
     const site = await start(firstThen(breakOff, refuseWith('deadline-unreachable', 50)));
     const { status, headers } = await site.call('/v1/completions', { body });
-    expect([status, headers['x-plantaindrum-outcome'], sent()]).to.deep.equal([502, 'unknown', 2]);
+    expect([status, headers['x-plantaindrum-outcome'], dispatchCount()]).to.deep.equal([
+      502,
+      'unknown',
+      2,
+    ]);
   });
 
   /*
-   * A caller connects although the door holds its most connections. Its request is read and refused
-   * as not run, and has not been given to any upstream; once there is room the same caller is served.
+   * A caller connects while the server has its maximum of connections. Its request is read and
+   * refused as not run, and reaches no upstream; once a connection has closed, callers are served.
    */
-  it('over the limit of connections get a refusal and not a reset', async () => {
-    const site = await start(answer, exportsOf, { connections: 1 });
+  it('is refused, not reset, when it exceeds the connection limit', async () => {
+    const site = await start(sendEmptyAnswer, exportsLabels, { connections: 1 });
     const { hostname, port } = new URL(site.entry.callers);
     const first = connect(Number(port), hostname);
     await once(first, 'connect');
@@ -137,7 +148,7 @@
     expect([status, headers['x-plantaindrum-reason']]).to.deep.equal([503, 'too-many-connections']);
     const counted = site.metrics.counter('requests_refused', { reason: 'too-many-connections' });
     expect(counted).to.equal(1);
-    expect(sent()).to.equal(0);
+    expect(dispatchCount()).to.equal(0);
     first.end();
     await once(first, 'close');
     expect((await site.call('/exports/2', { body: '{}' })).status).to.equal(200);
--- a/packages/plantaindrum/test/run-attempt.test.ts
+++ b/packages/plantaindrum/test/run-attempt.test.ts
@@ -2,13 +2,13 @@
 import { createManualClock, createMetrics } from '@plantaindrum/common';
 import type { AttemptId, PeerFrame } from '@plantaindrum/link';
 import { INITIAL_CREDIT_BYTES } from '@plantaindrum/link';
-import { defaultAttemptTimes, runAttempt } from '../src/core/attempts/run-attempt.js';
-import type { AnswerSink, Work } from '../src/core/attempts/types.js';
+import { defaultAttemptTimeouts, runAttempt } from '../src/core/attempts/run-attempt.js';
+import type { DispatchPayload, ResponseSink } from '../src/core/attempts/types.js';
 import { createUpstream } from '../src/core/upstreams/upstream.js';
-import { idle } from './support/fake-agent.js';
+import { idleLoad } from './support/fake-agent.js';
 import { createFakeLink } from './support/fake-link.js';
 
-const work: Work = {
+const payload: DispatchPayload = {
   organisation: 'rainier',
   class: 'export',
   priority: 'normal',
@@ -20,8 +20,8 @@
   body: Buffer.from('{}'),
 };
 
-/** Lets everything that waits for nothing outside run. */
-const settled = (): Promise<void> =>
+/** Lets all pending promise callbacks run. */
+const flushMicrotasks = (): Promise<void> =>
   new Promise((resolve) => {
     setImmediate(resolve);
   });
@@ -33,7 +33,12 @@
   data: Buffer.from(text),
 });
 const head = (id: AttemptId): PeerFrame => ({ t: 'head', id, status: 200, headers: {} });
-const end = (id: AttemptId, length: number): PeerFrame => ({ t: 'end', id, length, load: idle });
+const end = (id: AttemptId, length: number): PeerFrame => ({
+  t: 'end',
+  id,
+  length,
+  load: idleLoad,
+});
 
 const setUp = () => {
   const clock = createManualClock();
@@ -49,31 +54,31 @@
   const upstream = createUpstream(vm, metrics);
   const first = createFakeLink('agent-1');
   const deliver = upstream.onLink(first.link);
-  let leave = (): void => {};
+  let disconnectCaller = (): void => {};
   let text = '';
-  let room: Promise<void> = Promise.resolve();
-  const answer: AnswerSink = {
+  let callerReady: Promise<void> = Promise.resolve();
+  const response: ResponseSink = {
     head: () => true,
     write: async (data) => {
       text += Buffer.from(data).toString();
-      await room;
+      await callerReady;
       return true;
     },
     end: () => true,
   };
-  const run = (id: AttemptId, repeatable = false) =>
+  const run = (id: AttemptId, mayRunElsewhere = false) =>
     runAttempt({
       id,
       upstream,
-      work,
-      answer,
-      onCallerGone: (fn) => {
-        leave = fn;
+      payload,
+      response,
+      onCallerDisconnect: (fn) => {
+        disconnectCaller = fn;
         return () => {};
       },
-      repeatable,
+      mayRunElsewhere,
       ticket: { started: () => {}, firstByte: () => {} },
-      times: defaultAttemptTimes,
+      timeouts: defaultAttemptTimeouts,
       clock,
       metrics,
     });
@@ -89,12 +94,12 @@
     deliver,
     run,
     reconnect,
-    leave: () => leave(),
+    disconnectCaller: () => disconnectCaller(),
     text: () => text,
-    /** The caller reads nothing until the result is called. */
-    fill: (): (() => void) => {
+    /** Makes the caller read nothing until the returned function is called. */
+    stallCaller: (): (() => void) => {
       let drain = (): void => {};
-      room = new Promise((resolve) => {
+      callerReady = new Promise((resolve) => {
         drain = resolve;
       });
       return drain;
@@ -103,7 +108,7 @@
 };
 
 describe('an attempt', () => {
-  it('is answered when offsets and length fit, and grants credit for what was written', async () => {
+  it('is answered when offsets and length match, and grants credit for bytes written', async () => {
     const { deliver, run, first, text } = setUp();
     const outcome = run('e:1');
     [head('e:1'), chunk('e:1', 0, 'ab'), chunk('e:1', 2, 'cd'), end('e:1', 4)].forEach(deliver);
@@ -113,10 +118,10 @@
   });
 
   /*
-   * The agent's answer lacks bytes, repeats them or ends early. Passed on, the caller would take a
-   * damaged answer for a whole one; so it ends as unknown, counted, and the agent is told to stop.
+   * The response of the agent lacks bytes, repeats them or ends early. Forwarded, it would look
+   * complete to the caller. So the attempt ends as unknown, is counted and cancelled at the agent.
    */
-  const damaged: Record<string, { frames: PeerFrame[]; fault: string }> = {
+  const invalidResponses: Record<string, { frames: PeerFrame[]; fault: string }> = {
     'a chunk is missing': {
       frames: [head('e:1'), chunk('e:1', 0, 'ab'), chunk('e:1', 4, 'ef')],
       fault: 'wrong-offset',
@@ -133,12 +138,12 @@
     '"not run" comes after a head': {
       frames: [
         head('e:1'),
-        { t: 'not-run', id: 'e:1', reason: 'leaving', retryAfterMs: 0, load: idle },
+        { t: 'not-run', id: 'e:1', reason: 'leaving', retryAfterMs: 0, load: idleLoad },
       ],
       fault: 'not-run-after-head',
     },
   };
-  Object.entries(damaged).forEach(([name, { frames, fault }]) => {
+  Object.entries(invalidResponses).forEach(([name, { frames, fault }]) => {
     it(`is unknown when ${name}`, async () => {
       const { deliver, run, first, metrics } = setUp();
       const outcome = run('e:1');
@@ -150,10 +155,11 @@
   });
 
   /*
-   * Two answers cross on one link, and frames of an ended attempt arrive late. Each caller gets the
-   * bytes of its own request, because ids are never used twice and unknown ids are dropped.
+   * Frames of two attempts are interleaved on one link, and frames of an ended attempt arrive late.
+   * Each caller gets only the bytes of its own request: ids are never reused, and frames with
+   * unknown ids are dropped.
    */
-  it('takes no frames of another attempt, and frames after its end are dropped', async () => {
+  it('ignores frames of other attempts and frames after its end', async () => {
     const { deliver, run, metrics, text } = setUp();
     const outcome = run('e:2');
     [head('e:1'), head('e:2'), chunk('e:1', 0, 'other'), chunk('e:2', 0, 'own')].forEach(deliver);
@@ -165,25 +171,25 @@
   });
 
   /*
-   * The caller reads slowly. Credit goes back to the agent only as fast as the caller takes bytes,
-   * so that the answer waits at the agent and not in this process.
+   * The caller reads slowly. Credit is granted only as fast as the caller takes bytes, so that the
+   * response is buffered at the agent and not in this process.
    */
-  it('grants credit only once the caller has room', async () => {
-    const { deliver, run, first, fill, text } = setUp();
-    const drain = fill();
+  it('grants credit only when the caller can take more', async () => {
+    const { deliver, run, first, stallCaller, text } = setUp();
+    const drain = stallCaller();
     const outcome = run('e:1');
-    await first.sentOne('dispatch');
+    await first.waitForSent('dispatch');
     [head('e:1'), chunk('e:1', 0, 'ab'), end('e:1', 2)].forEach(deliver);
-    await settled();
+    await flushMicrotasks();
     expect([text(), first.sent.map(({ t }) => t)]).to.deep.equal(['ab', ['dispatch']]);
     drain();
     expect(await outcome).to.deep.equal({ outcome: 'answered' });
     expect(first.sent.at(-1)).to.deep.equal({ t: 'credit', id: 'e:1', bytes: 2 });
   });
 
-  it('holds no more than the credit for a slow caller', async () => {
-    const { deliver, run, fill, metrics } = setUp();
-    const drain = fill();
+  it('buffers no more than the credit for a slow caller', async () => {
+    const { deliver, run, stallCaller, metrics } = setUp();
+    const drain = stallCaller();
     const outcome = run('e:1');
     const part = 'x'.repeat(INITIAL_CREDIT_BYTES / 2);
     deliver(head('e:1'));
@@ -195,23 +201,23 @@
 
   it('is not run when nothing could be sent', async () => {
     const { run, first } = setUp();
-    await first.lose();
+    await first.closeByPeer();
     const outcome = await run('e:1');
     expect(outcome.outcome).to.equal('not-run');
   });
 
   /*
-   * The link is lost in the middle of an answer. The same agent instance comes back: it is asked
-   * what became of the attempt, and sends on from the bytes that the entry holds.
+   * The link is lost in the middle of a response, and the same agent instance reconnects. The entry
+   * queries the attempt, and the agent continues after the bytes that the entry already has.
    */
-  it('goes on with the same agent instance after a lost link', async () => {
+  it('resumes with the same agent instance after a lost link', async () => {
     const { deliver, run, first, reconnect, text } = setUp();
     const outcome = run('e:1');
     [head('e:1'), chunk('e:1', 0, 'ab')].forEach(deliver);
-    await first.sentOne('credit');
-    await first.lose();
+    await first.waitForSent('credit');
+    await first.closeByPeer();
     const second = reconnect('agent-1');
-    const query = await second.sentOne('query');
+    const query = await second.waitForSent('query');
     expect(query).to.deep.equal({ t: 'query', id: 'e:1', headReceived: true, received: 2 });
     second.deliver({ t: 'in-progress', id: 'e:1', started: true });
     [chunk('e:1', 2, 'cd'), end('e:1', 4)].forEach(second.deliver);
@@ -219,54 +225,55 @@
     expect(text()).to.equal('abcd');
   });
 
-  it('is not run when the agent has put a tombstone on it after a lost link', async () => {
+  it('is not run when the agent reports a tombstone after a lost link', async () => {
     const { run, first, reconnect } = setUp();
     const outcome = run('e:1');
-    await first.sentOne('dispatch');
-    await first.lose();
+    await first.waitForSent('dispatch');
+    await first.closeByPeer();
     const second = reconnect('agent-1');
-    await second.sentOne('query');
+    await second.waitForSent('query');
     const reason = 'upstream-unreachable';
-    second.deliver({ t: 'not-run', id: 'e:1', reason, retryAfterMs: 5, load: idle });
+    second.deliver({ t: 'not-run', id: 'e:1', reason, retryAfterMs: 5, load: idleLoad });
     expect(await outcome).to.deep.equal({ outcome: 'not-run', reason, retryAfterMs: 5 });
   });
 
   /*
-   * The agent died after the dispatch and its successor answers at the same address. It knows
-   * nothing of the attempt, which may have run: the outcome is unknown, and nobody is asked.
+   * The agent dies after the dispatch, and a new instance accepts the link at the same address. It
+   * has no record of the attempt, which may have run: the outcome is unknown, without a query.
    */
-  it('is unknown when another agent instance comes back', async () => {
+  it('is unknown when another agent instance reconnects', async () => {
     const { run, first, reconnect } = setUp();
     const outcome = run('e:1');
-    await first.sentOne('dispatch');
-    await first.lose();
+    await first.waitForSent('dispatch');
+    await first.closeByPeer();
     const second = reconnect('agent-2');
     expect(await outcome).to.deep.equal({ outcome: 'unknown', reason: 'agent-restarted' });
     expect(second.sent).to.deep.equal([]);
   });
 
-  it('is unknown when no agent comes back in time', async () => {
+  it('is unknown when no agent reconnects in time', async () => {
     const { clock, run, first } = setUp();
     const outcome = run('e:1');
-    await first.sentOne('dispatch');
-    await first.lose();
-    await clock.advance(defaultAttemptTimes.reconnectMs);
+    await first.waitForSent('dispatch');
+    await first.closeByPeer();
+    await clock.advance(defaultAttemptTimeouts.reconnectMs);
     expect(await outcome).to.deep.equal({ outcome: 'unknown', reason: 'link-lost' });
   });
 
   /*
-   * The agent's process is frozen: its link stays open and nothing comes. Work that may run
-   * elsewhere is given up after a second of silence, long before the heartbeat ends the link, so
-   * that another upstream can still meet the target. Work that may not be repeated waits on.
+   * The agent's process is frozen: its link stays open, but no frames arrive. A request that may
+   * run elsewhere is given up after a second of silence, long before the heartbeat closes the link,
+   * so that another upstream can still meet the target. A request that may not be repeated keeps
+   * waiting.
    */
-  it('is given up when the agent is silent, if the work may run elsewhere', async () => {
+  it('is given up when the agent is silent, if the request may run elsewhere', async () => {
     const { upstream, run, first, metrics } = setUp();
     const repeatable = run('e:1', true);
     const once = run('e:2');
-    await first.sentOne('dispatch');
-    [1, 2, 3, 4].forEach(upstream.tick);
+    await first.waitForSent('dispatch');
+    [1, 2, 3, 4].forEach(upstream.checkSilence);
     expect(metrics.counter('upstream_silent')).to.equal(0);
-    upstream.tick();
+    upstream.checkSilence();
     expect(await repeatable).to.deep.equal({ outcome: 'unknown', reason: 'link-lost' });
     expect(first.sent.at(-1)).to.deep.equal({ t: 'cancel', id: 'e:1' });
     expect(upstream.outstanding()).to.equal(1);
@@ -274,37 +281,37 @@
     expect((await once).outcome).to.equal('unknown');
   });
 
-  it('goes on when the agent says anything in between', async () => {
+  it('continues when any frame arrives before the silence limit', async () => {
     const { upstream, run, first, deliver } = setUp();
     const outcome = run('e:1', true);
-    await first.sentOne('dispatch');
-    [1, 2, 3, 4].forEach(upstream.tick);
+    await first.waitForSent('dispatch');
+    [1, 2, 3, 4].forEach(upstream.checkSilence);
     deliver({ t: 'pong', seq: 1, intentOffset: -1 });
-    [1, 2, 3, 4].forEach(upstream.tick);
+    [1, 2, 3, 4].forEach(upstream.checkSilence);
     [head('e:1'), end('e:1', 0)].forEach(deliver);
     expect(await outcome).to.deep.equal({ outcome: 'answered' });
   });
 
-  it('cancels a silent attempt and takes the word of the agent', async () => {
+  it('is cancelled after a long silence, and ends as the agent replies', async () => {
     const { clock, run, first, deliver } = setUp();
     const outcome = run('e:1');
-    await first.sentOne('dispatch');
-    await clock.advance(defaultAttemptTimes.silenceMs);
-    await first.sentOne('cancel');
-    deliver({ t: 'not-run', id: 'e:1', reason: 'cancelled', retryAfterMs: 0, load: idle });
+    await first.waitForSent('dispatch');
+    await clock.advance(defaultAttemptTimeouts.silenceMs);
+    await first.waitForSent('cancel');
+    deliver({ t: 'not-run', id: 'e:1', reason: 'cancelled', retryAfterMs: 0, load: idleLoad });
     expect((await outcome).outcome).to.equal('not-run');
   });
 
   /*
-   * The caller goes away while the link is down. The agent must not go on for nobody, so the
-   * cancel waits for the same instance to come back.
+   * The caller disconnects while the link is down. The agent must not keep working for nobody, so
+   * the cancel is sent when the same instance reconnects.
    */
-  it('cancels when the caller has gone, also after a lost link', async () => {
-    const { run, first, reconnect, leave } = setUp();
+  it('is cancelled when the caller disconnects, also after a lost link', async () => {
+    const { run, first, reconnect, disconnectCaller } = setUp();
     const outcome = run('e:1');
-    await first.sentOne('dispatch');
-    await first.lose();
-    leave();
+    await first.waitForSent('dispatch');
+    await first.closeByPeer();
+    disconnectCaller();
     expect(await outcome).to.deep.equal({ outcome: 'caller-gone' });
     const second = reconnect('agent-1');
     expect(second.sent).to.deep.equal([{ t: 'cancel', id: 'e:1' }]);
--- a/packages/plantaindrum/test/starting.test.ts
+++ b/packages/plantaindrum/test/starting.test.ts
@@ -3,17 +3,17 @@
 import type { AddressInfo } from 'node:net';
 import { expect } from 'chai';
 import { request } from 'undici';
-import { answerWith, startFakeAgent } from './support/fake-agent.js';
+import { sendAnswer, startFakeAgent } from './support/fake-agent.js';
 import { startSite, upstreamVm } from './support/site.js';
 
 describe('start of an entry', () => {
-  const open: { close(): Promise<unknown> }[] = [];
+  const closeables: { close(): Promise<unknown> }[] = [];
 
   afterEach(async () => {
-    for (const part of open.splice(0)) await part.close();
+    for (const part of closeables.splice(0)) await part.close();
   });
 
-  /** Answers the first reads by 503, then as the list at the address that it is given. */
+  /** Starts a server that fails the first reads with 503 and then forwards to the given VM list. */
   const startFailingList = async (failures: number) => {
     let left = failures;
     let target = '';
@@ -28,7 +28,7 @@
     await new Promise<void>((resolve) => {
       server.listen(0, '127.0.0.1', resolve);
     });
-    open.push({ close: async () => server.close() });
+    closeables.push({ close: async () => server.close() });
     const { port } = server.address() as AddressInfo;
     return (url: string): string => {
       target = url;
@@ -36,15 +36,15 @@
     };
   };
 
-  // A VM is replaced while the platform's list is down. An entry that took "no list" for "no VMs" would
-  // report ready, draw callers from the entries that still serve, and refuse each with "no upstream".
+  // An entry starts while the VM list is down. If it took a failed read for an empty list, it would
+  // become ready, attract callers from entries that can serve, and refuse them with "no-upstream".
   it('is not ready before it has read the VM list', async () => {
     const agent = await startFakeAgent((frame, link) => {
-      if (frame.t === 'dispatch') answerWith(link, frame, '{}');
+      if (frame.t === 'dispatch') sendAnswer(link, frame, '{}');
     });
     const list = await startFailingList(2);
     const site = await startSite([upstreamVm('kent-u1', agent.address)], {}, list);
-    open.push(site, agent);
+    closeables.push(site, agent);
     const body = JSON.stringify({ model: 'lot-writer', prompt: 'a car' });
     expect((await site.call('/v1/completions', { body })).status).to.equal(200);
   });
--- a/packages/plantaindrum/test/stop-command.test.ts
+++ b/packages/plantaindrum/test/stop-command.test.ts
@@ -1,12 +1,12 @@
 import { setImmediate as settle } from 'node:timers/promises';
 import { createManualClock, exitCodes } from '@plantaindrum/common';
 import { expect } from 'chai';
-import { waitUntilQuiet } from '../src/cli/data-centre/wait-until-quiet.js';
+import { waitUntilIdle } from '../src/cli/data-centre/wait-until-idle.js';
 import type { NodeReport } from '../src/core/entry/node-reports.js';
 
 const VERSION = 7;
 const POLL_MS = 500;
-const ROUNDS = 20;
+const MAX_POLLS = 20;
 
 const runWith = async (readings: NodeReport[][]) => {
   const clock = createManualClock();
@@ -20,8 +20,8 @@
     },
   };
   const io = { out: (line: string) => lines.push(line) };
-  const done = waitUntilQuiet(client, { name: 'kent', version: VERSION }, io, clock);
-  for (let round = 0; round < ROUNDS; round += 1) {
+  const done = waitUntilIdle(client, { name: 'kent', version: VERSION }, io, clock);
+  for (let poll = 0; poll < MAX_POLLS; poll += 1) {
     await settle();
     await clock.advance(POLL_MS);
   }
@@ -37,14 +37,15 @@
 });
 
 describe('waiting for a data centre to stop', () => {
-  it('shows what is in flight, on each change, and ends when nothing is', async () => {
+  it('prints requests in flight whenever they change, and ends when there are none', async () => {
     const ended = await runWith([[entry(2)], [entry(2)], [entry(1)], [entry(0)]]);
     expect(ended).toMatchSnapshot();
   });
 
-  // An agent of the data centre is frozen with a call in its hands. It can't be asked, and the
-  // operator must not be told that nothing is in flight: the cables would be pulled on that word.
-  it('does not say that nothing is in flight while a node does not answer', async () => {
+  // An agent of the data centre is frozen with a request in flight and doesn't answer. The operator
+  // must not be told that nothing is in flight, because machines are powered off after that
+  // message.
+  it('does not report the data centre as idle while a node does not answer', async () => {
     const silent: NodeReport = { node: 'kent-u1', role: 'agent', dataCentre: 'kent' };
     const ended = await runWith([[entry(0), silent]]);
     expect(ended).toMatchSnapshot();
--- a/packages/plantaindrum/test/streams.test.ts
+++ b/packages/plantaindrum/test/streams.test.ts
@@ -3,7 +3,7 @@
 import { expect } from 'chai';
 import type { Dispatch, Link, PeerFrame } from '@plantaindrum/link';
 import type { FakeAgent } from './support/fake-agent.js';
-import { idle, startFakeAgent } from './support/fake-agent.js';
+import { idleLoad, startFakeAgent } from './support/fake-agent.js';
 import type { TestSite } from './support/site.js';
 import { startSite, upstreamVm } from './support/site.js';
 
@@ -15,7 +15,7 @@
 
 type Send = (text: string) => void;
 
-/** Starts a stream on a link; the result sends its bytes. */
+/** Starts a streamed response on a link; the result sends text as its next chunk. */
 const startStream = (link: Link, { id }: Dispatch): Send => {
   let offset = 0;
   const headers = { 'content-type': 'text/event-stream' };
@@ -28,18 +28,18 @@
 };
 
 const endStream = (link: Link, { id }: Dispatch, length: number): void => {
-  link.send({ t: 'end', id, length, load: idle });
+  link.send({ t: 'end', id, length, load: idleLoad });
 };
 
-const unknown = ({ id }: Dispatch): PeerFrame => ({
+const unknownFrame = ({ id }: Dispatch): PeerFrame => ({
   t: 'unknown',
   id,
   reason: 'upstream-broke-off',
-  load: idle,
+  load: idleLoad,
 });
 
-/** Resolves when nobody listens at the address any more. */
-const doorClosed = async (url: string): Promise<void> => {
+/** Resolves when connections to the address are refused. */
+const waitUntilRefused = async (url: string): Promise<void> => {
   try {
     const socket = connect(Number(new URL(url).port), '127.0.0.1');
     await once(socket, 'connect');
@@ -47,11 +47,11 @@
   } catch {
     return;
   }
-  await doorClosed(url);
+  await waitUntilRefused(url);
 };
 
-describe('streams', () => {
-  const open: { close(): Promise<void> }[] = [];
+describe('a stream', () => {
+  const closeables: { close(): Promise<void> }[] = [];
 
   const startWith = async (
     ...scripts: ((frame: PeerFrame, link: Link) => void)[]
@@ -60,20 +60,20 @@
     const site = await startSite(
       agents.map(({ address }, index) => upstreamVm(`u${index}`, address)),
     );
-    open.push(site, ...agents);
+    closeables.push(site, ...agents);
     return { site, agents };
   };
 
   afterEach(async () => {
-    for (const part of open.splice(0)) await part.close();
+    for (const part of closeables.splice(0)) await part.close();
   });
 
-  it('reach the caller event by event, and end after [DONE]', async () => {
+  it('reaches the caller event by event, and ends after [DONE]', async () => {
     const { site } = await startWith((frame, link) => {
       if (frame.t !== 'dispatch') return;
       const text = events(0, 3) + DONE;
       const send = startStream(link, frame);
-      // Cut in the middle of an event: only whole events go on.
+      // The chunks are split in the middle of an event; only complete events are forwarded.
       send(text.slice(0, 20));
       send(text.slice(20));
       endStream(link, frame, text.length);
@@ -86,14 +86,15 @@
   });
 
   /*
-   * The upstream breaks off in the middle of an event and no other can go on. The caller gets the
-   * whole events, then an error event, and the connection breaks: no client takes that for an end.
+   * The upstream breaks off in the middle of an event, and no other can resume. The caller gets the
+   * complete events, then an error event, and the connection is aborted, so that no client takes
+   * the stream for complete.
    */
-  it('break off with an error event when nobody can go on', async () => {
+  it('ends with an error event when no upstream can resume it', async () => {
     const { site } = await startWith((frame, link) => {
       if (frame.t !== 'dispatch') return;
       startStream(link, frame)(`${events(0, 2)}id: 2\nda`);
-      link.send(unknown(frame));
+      link.send(unknownFrame(frame));
     });
     const { text, broken } = await site.call('/v1/completions', { body });
     expect(broken).to.equal(true);
@@ -102,25 +103,26 @@
     expect(JSON.parse(error)).to.have.nested.property('error.outcome', 'unknown');
   });
 
-  // An entry leaves while a stream is open, and the stream's upstream gives it up. That ends the last
-  // request, so the entry closes in the same turn; its caller must still get the error event.
-  it('break off with an error event also as the last request of an entry that leaves', async () => {
+  // An entry drains while a stream is open, and the upstream breaks it off. That ends the last
+  // request, so the entry closes in the same tick of the event loop; the caller must still get the
+  // error event.
+  it('ends with an error event also as the last request of a draining entry', async () => {
     let giveUp = (): void => {};
     const { site, agents } = await startWith((frame, link) => {
       if (frame.t !== 'dispatch') return;
       startStream(link, frame)(events(0, 2));
-      giveUp = () => link.send(unknown(frame));
+      giveUp = () => link.send(unknownFrame(frame));
     });
     const call = site.call('/v1/completions', { body });
     await agents[0]?.next('dispatch');
     const drained = site.drain();
-    await doorClosed(site.entry.callers);
+    await waitUntilRefused(site.entry.callers);
     giveUp();
     expect((await call).text).to.include('event: error');
     await drained;
   });
 
-  it('break off when the end comes without [DONE]', async () => {
+  it('is aborted when its end comes without [DONE]', async () => {
     const { site } = await startWith((frame, link) => {
       if (frame.t !== 'dispatch') return;
       startStream(link, frame)(events(0, 2));
@@ -132,17 +134,17 @@
   });
 
   /*
-   * The first upstream dies after two events and half of a third. Another one is asked to resume
-   * after the last whole event that went to the caller, who sees one stream without a seam.
+   * The first upstream fails after two events and half of a third. The retry asks another to resume
+   * after the last complete event that was sent, so the caller gets one stream without gaps.
    */
-  const resuming =
+  const failThenResumeFrom =
     (from: number) =>
     (frame: PeerFrame, link: Link): void => {
       if (frame.t !== 'dispatch') return;
       const send = startStream(link, frame);
       if (frame.resumeAfter === undefined) {
         send(`${events(0, 2)}id: 2\nda`);
-        link.send(unknown(frame));
+        link.send(unknownFrame(frame));
         return;
       }
       const text = events(from, 5) + DONE;
@@ -150,29 +152,34 @@
       endStream(link, frame, text.length);
     };
 
-  it('are resumed after the last whole event on another upstream', async () => {
-    const { site, agents } = await startWith(resuming(2), resuming(2));
+  it('is resumed on another upstream after the last complete event', async () => {
+    const { site, agents } = await startWith(failThenResumeFrom(2), failThenResumeFrom(2));
     const { text, broken } = await site.call('/v1/completions', { body });
     expect([text, broken]).to.deep.equal([events(0, 5) + DONE, false]);
-    const sent = agents.flatMap(({ frames }) => frames.filter((frame) => frame.t === 'dispatch'));
-    expect(sent.map(({ resumeAfter }) => resumeAfter ?? 'start')).to.have.members(['start', '1']);
+    const dispatches = agents.flatMap(({ frames }) =>
+      frames.filter((frame) => frame.t === 'dispatch'),
+    );
+    expect(dispatches.map(({ resumeAfter }) => resumeAfter ?? 'start')).to.have.members([
+      'start',
+      '1',
+    ]);
   });
 
-  it('drop events that a resumed upstream repeats', async () => {
-    const { site } = await startWith(resuming(0), resuming(0));
+  it('omits events that the resuming upstream repeats', async () => {
+    const { site } = await startWith(failThenResumeFrom(0), failThenResumeFrom(0));
     const { text, broken } = await site.call('/v1/completions', { body });
     expect([text, broken]).to.deep.equal([events(0, 5) + DONE, false]);
     expect(site.metrics.counter('events_repeated')).to.equal(2);
   });
 
-  it('break off when a resumed upstream leaves events out', async () => {
-    const { site } = await startWith(resuming(3), resuming(3));
+  it('is aborted when the resuming upstream skips events', async () => {
+    const { site } = await startWith(failThenResumeFrom(3), failThenResumeFrom(3));
     const { text, broken } = await site.call('/v1/completions', { body });
     expect(broken).to.equal(true);
     expect(text.startsWith(`${events(0, 2)}event: error`)).to.equal(true);
   });
 
-  it('are cancelled at the agent when the caller goes in mid stream', async () => {
+  it('is cancelled at the agent when the caller disconnects', async () => {
     const { site, agents } = await startWith((frame, link) => {
       if (frame.t === 'dispatch') startStream(link, frame)(events(0, 2));
     });
--- a/packages/plantaindrum/test/support/fake-agent.ts
+++ b/packages/plantaindrum/test/support/fake-agent.ts
@@ -3,22 +3,22 @@
 import { createLinkServer, defaultLinkLimits } from '@plantaindrum/link';
 
 /** Load of an idle agent. */
-export const idle: Load = { queued: 0, running: 0, drainPerSecond: 0, leaving: false };
+export const idleLoad: Load = { queued: 0, running: 0, drainPerSecond: 0, leaving: false };
 
-/** A link server that plays an agent by a test's script. */
+/** A link server that acts as an agent by the script of a test. */
 export interface FakeAgent {
   address: string;
-  /** Frames that came, in order. */
+  /** Frames received, in order. */
   frames: PeerFrame[];
-  /** The newest link. */
+  /** The latest link. */
   link(): Link | undefined;
-  /** Resolves with the next frame of a kind that has not been waited for. */
+  /** Resolves with the next frame of a kind that no earlier call has returned. */
   next<T extends PeerFrame['t']>(kind: T): Promise<Extract<PeerFrame, { t: T }>>;
   close(): Promise<void>;
 }
 
-/** Sends a whole answer with its length. */
-export const answerWith = (
+/** Sends a complete response. */
+export const sendAnswer = (
   link: Link,
   { id }: Pick<Dispatch, 'id'>,
   text: string,
@@ -28,27 +28,27 @@
   link.send({ t: 'started', id });
   link.send({ t: 'head', id, status: 200, headers: { 'content-type': contentType } });
   link.send({ t: 'chunk', id, offset: 0, data });
-  link.send({ t: 'end', id, length: data.length, load: idle });
+  link.send({ t: 'end', id, length: data.length, load: idleLoad });
 };
 
-/** Starts a fake agent; `script` runs on each frame. */
+/** Starts a fake agent; `script` is called with each frame. */
 export const startFakeAgent = async (
   script: (frame: PeerFrame, link: Link) => void = () => {},
   options: { instance?: string; port?: number } = {},
 ): Promise<FakeAgent> => {
   const frames: PeerFrame[] = [];
-  const taken = new Set<PeerFrame>();
-  const waiting = new Set<() => void>();
-  let current: Link | undefined;
+  const consumed = new Set<PeerFrame>();
+  const frameWaiters = new Set<() => void>();
+  let latestLink: Link | undefined;
 
   const wakeAll = (): void => {
-    waiting.forEach((resolve) => resolve());
-    waiting.clear();
+    frameWaiters.forEach((resolve) => resolve());
+    frameWaiters.clear();
   };
 
   const nextFrame = (): Promise<void> =>
     new Promise((resolve) => {
-      waiting.add(resolve);
+      frameWaiters.add(resolve);
     });
 
   const server = await createLinkServer({
@@ -61,13 +61,13 @@
       region: 'northwest',
     },
     intentOffset: () => -1,
-    load: () => idle,
+    load: () => idleLoad,
     limits: defaultLinkLimits,
     handlers: {
       'node.status': async () => ({ inFlight: 0, intent: { offset: Number.MAX_SAFE_INTEGER } }),
     },
     onLink: (link) => {
-      current = link;
+      latestLink = link;
       return (frame) => {
         frames.push(frame);
         script(frame, link);
@@ -81,9 +81,9 @@
 
   const next: FakeAgent['next'] = async (kind) => {
     for (;;) {
-      const found = frames.find((frame) => frame.t === kind && !taken.has(frame));
+      const found = frames.find((frame) => frame.t === kind && !consumed.has(frame));
       if (found) {
-        taken.add(found);
+        consumed.add(found);
         return found as never;
       }
       await nextFrame();
@@ -93,7 +93,7 @@
   return {
     address: `${server.address.host}:${server.address.port}`,
     frames,
-    link: () => current,
+    link: () => latestLink,
     next,
     close: server.close,
   };
--- a/packages/plantaindrum/test/support/fake-link.ts
+++ b/packages/plantaindrum/test/support/fake-link.ts
@@ -3,27 +3,27 @@
 /** A link without a socket. */
 export interface FakeLink {
   link: Link;
-  /** Frames that were sent, in order. */
+  /** Frames sent, in order. */
   sent: Frame[];
-  /** Resolves once a frame of the kind has been sent. */
-  sentOne(kind: Frame['t']): Promise<Frame>;
-  /** Ends the link; resolves when those who wait for its end know. */
-  lose(): Promise<void>;
+  /** Resolves with the first frame of the kind, waiting for it if necessary. */
+  waitForSent(kind: Frame['t']): Promise<Frame>;
+  /** Closes the link as its peer would; resolves when the listeners of `closed` have run. */
+  closeByPeer(): Promise<void>;
 }
 
 /** Creates an open link to an agent of the given instance. */
 export const createFakeLink = (instance: string): FakeLink => {
   const sent: Frame[] = [];
-  const waiting = new Set<() => void>();
+  const sendWaiters = new Set<() => void>();
   let open = true;
-  let end: (reason: LinkCloseReason) => void = () => {};
+  let resolveClosed: (reason: LinkCloseReason) => void = () => {};
   const closed = new Promise<LinkCloseReason>((resolve) => {
-    end = resolve;
+    resolveClosed = resolve;
   });
 
   const nextSend = (): Promise<void> =>
     new Promise((resolve) => {
-      waiting.add(resolve);
+      sendWaiters.add(resolve);
     });
 
   const link: Link = {
@@ -40,8 +40,8 @@
     send: (frame) => {
       if (!open) return false;
       sent.push(frame);
-      waiting.forEach((resolve) => resolve());
-      waiting.clear();
+      sendWaiters.forEach((resolve) => resolve());
+      sendWaiters.clear();
       return true;
     },
     drained: async () => {},
@@ -53,18 +53,18 @@
   return {
     link,
     sent,
-    sentOne: async (kind) => {
+    waitForSent: async (kind) => {
       for (;;) {
         const found = sent.find((frame) => frame.t === kind);
         if (found) return found;
         await nextSend();
       }
     },
-    lose: async () => {
+    closeByPeer: async () => {
       open = false;
-      end('closed-by-peer');
+      resolveClosed('closed-by-peer');
       await closed;
-      // Everyone who waits for the end runs before the next turn of the event loop.
+      // All listeners of `closed` run before the next iteration of the event loop.
       await new Promise((resolve) => {
         setImmediate(resolve);
       });
--- a/packages/plantaindrum/test/support/site.ts
+++ b/packages/plantaindrum/test/support/site.ts
@@ -13,9 +13,9 @@
 import type { Entry } from '../../src/index.js';
 import { startEntry } from '../../src/index.js';
 
-/** Token of the operators' door. */
+/** Bearer token of the operator server. */
 export const TOKEN = 'test-operators-token';
-/** API key of the one organisation. */
+/** API key of the only organisation. */
 export const KEY = 'key-rainier';
 
 const keyHash = createHash('sha256').update(KEY).digest('hex');
@@ -35,27 +35,27 @@
   },
 ];
 
-/** An answer as a caller sees it; `broken` when it did not end cleanly. */
-export interface CallerAnswer {
+/** A response as received; `broken` when the connection ended before the response did. */
+export interface ReceivedResponse {
   status: number;
   headers: Record<string, string | string[] | undefined>;
   text: string;
   broken: boolean;
 }
 
-/** One entry before stand-ins of the platform. */
+/** One entry with stand-ins for the platform. */
 export interface TestSite {
   entry: Entry;
   metrics: Metrics;
-  call(path: string, options?: CallOptions): Promise<CallerAnswer>;
-  operators(method: 'GET' | 'POST', path: string, body?: unknown): Promise<CallerAnswer>;
-  /** Closes the entry, unless a test has let it end by itself, and the stand-ins. */
+  call(path: string, options?: CallOptions): Promise<ReceivedResponse>;
+  operators(method: 'GET' | 'POST', path: string, body?: unknown): Promise<ReceivedResponse>;
+  /** Closes the entry, unless a test has drained it, and the stand-ins. */
   close(): Promise<void>;
-  /** Lets the entry end by itself. */
+  /** Drains and closes the entry. */
   drain(): Promise<void>;
 }
 
-/** What a caller sends. */
+/** Options of a request. */
 export interface CallOptions {
   method?: 'GET' | 'POST';
   body?: string;
@@ -63,7 +63,7 @@
   signal?: AbortSignal;
 }
 
-const send = async (url: string, options: CallOptions): Promise<CallerAnswer> => {
+const send = async (url: string, options: CallOptions): Promise<ReceivedResponse> => {
   const res = await request(url, {
     method: options.method ?? 'POST',
     headers: options.headers ?? {},
@@ -81,7 +81,7 @@
   return { status: res.statusCode, headers: res.headers, text, broken };
 };
 
-/** A VM of the list that serves a model or a service. */
+/** Creates a VM list entry of an upstream that serves a model or a service. */
 export const upstreamVm = (
   name: string,
   address: string,
@@ -98,21 +98,21 @@
   },
 });
 
-/** Starts an entry that knows the given VMs, with the intent of one organisation. */
+/** Starts an entry with the given VM list and an intent with one organisation. */
 export const startSite = async (
   vms: VmTarget[],
   limits: Record<string, number> = {},
-  /** Address of the VM list, made from that of the stand-in. */
+  /** Maps the address of the VM list stand-in to the address that the entry uses. */
   vmListUrl: (url: string) => string = (url) => url,
 ): Promise<TestSite> => {
   const log = await createLogStandIn();
   const list = await createVmListStandIn({ vms });
-  const door = { host: '127.0.0.1', port: 0 };
+  const anyPort = { host: '127.0.0.1', port: 0 };
   const settings = entrySettingsSchema.parse({
     node: { name: 'kent-e1', dataCentre: 'kent', region: 'northwest' },
-    callers: door,
-    operators: { ...door, token: TOKEN },
-    link: door,
+    callers: anyPort,
+    operators: { ...anyPort, token: TOKEN },
+    link: anyPort,
     platform: { logUrl: log.url, vmListUrl: vmListUrl(list.url) },
     limits,
   });
