--- a/packages/agent/src/cli/main.ts
+++ b/packages/agent/src/cli/main.ts
@@ -48,7 +48,7 @@
   }
 };
 
-const faultLine = (file: string, { line, key, found, expected }: SettingsFault): string =>
+const formatFault = (file: string, { line, key, found, expected }: SettingsFault): string =>
   `${file}:${line}: ${key}: found ${found}, expected: ${expected}\n`;
 
 /** The first signal stops the agent gracefully, a second one ends the process at once. */
@@ -69,7 +69,7 @@
   const args = await parseArgs(argv);
   const settings = loadSettings(args.settings);
   if (!settings.ok) {
-    settings.err.forEach((fault) => process.stderr.write(faultLine(args.settings, fault)));
+    settings.err.forEach((fault) => process.stderr.write(formatFault(args.settings, fault)));
     process.exit(exitCodes.invalid);
   }
   const log = createLogger(settings.value.node.name);
--- a/packages/agent/src/core/agent.ts
+++ b/packages/agent/src/core/agent.ts
@@ -9,12 +9,12 @@
 import { NODE_STATUS } from '@plantaindrum/link';
 import type { Log } from '@plantaindrum/service-clients';
 import { createLogClient, createVmListClient } from '@plantaindrum/service-clients';
-import type { DeskLimits } from './attempts/desk.js';
+import type { AttemptLimits } from './attempts/attempt-manager.js';
 import { createServing } from './attempts/serving.js';
 import { createEntries } from './entries.js';
 import { createExpertGroup } from './group/group.js';
 import { createAgentLinks } from './links.js';
-import { openOperatorsDoor } from './operators/door.js';
+import { createOperatorServer } from './operators/operator-server.js';
 import { agentStatus } from './status.js';
 
 /** What an agent needs besides its settings. */
@@ -24,7 +24,7 @@
   random: Random;
   metrics: Metrics;
   log: Logger;
-  deskLimits?: Partial<DeskLimits>;
+  attemptLimits?: Partial<AttemptLimits>;
   linkLimits?: Partial<LinkLimits>;
   groupTimings?: Partial<GroupTimings>;
 }
@@ -55,14 +55,19 @@
   const intent = createIntent(options, platformLog);
 
   // Agents stop last: the entries of a data centre that is being stopped still finish their work.
-  const isClosedTo = (entry: Link): boolean =>
+  const refusesEntry = (entry: Link): boolean =>
     entry.peer.dataCentre !== node.dataCentre &&
     isStopped(intent.current().document, node.dataCentre);
-  const serving = createServing({ ...options, instance, platformLog, isClosedTo });
-  const { desk, load } = serving;
+  const serving = createServing({ ...options, instance, platformLog, refusesEntry });
+  const { attemptManager, load } = serving;
   const isReady = (): boolean => intent.freshness().caughtUp && !load().leaving;
 
-  const entries = createEntries({ desk, isLeaving: () => load().leaving, metrics, log });
+  const entries = createEntries({
+    attemptManager,
+    isLeaving: () => load().leaving,
+    metrics,
+    log,
+  });
   const links = createAgentLinks({
     settings,
     instance,
@@ -96,16 +101,16 @@
       instance,
       ready: isReady,
       load,
-      desk,
+      attemptManager,
       entries: entries.count,
       intent,
       group: () => group?.status(),
     });
-  links.serve({ ...group?.handlers, [NODE_STATUS]: async () => status() });
-  if (group) links.onAgent(group.onLink);
+  links.addHandlers({ ...group?.handlers, [NODE_STATUS]: async () => status() });
+  if (group) links.onAgentLink(group.onLink);
 
   const server = await links.listen();
-  const door = await openOperatorsDoor({
+  const operatorServer = await createOperatorServer({
     listen: settings.operators,
     token: settings.operators.token,
     connections: settings.limits.connections,
@@ -125,9 +130,9 @@
     await server.close();
     await serving.close();
     await intent.close();
-    await Promise.all([door.close(), platformLog.close(), vmList.close()]);
+    await Promise.all([operatorServer.close(), platformLog.close(), vmList.close()]);
   };
 
   const { host, port } = server.address;
-  return { operators: door.url, link: `${host}:${port}`, stop };
+  return { operators: operatorServer.url, link: `${host}:${port}`, stop };
 };
--- a/packages/agent/src/core/attempts/answer-copy.ts
+++ b/packages/agent/src/core/attempts/answer-copy.ts
@@ -14,7 +14,7 @@
 export const createAnswerCopy = (): AnswerCopy => {
   let status = 0;
   let contentType: string | undefined;
-  let parts: Uint8Array[] | undefined = [];
+  let chunks: Uint8Array[] | undefined = [];
   let bytes = 0;
 
   return {
@@ -22,15 +22,15 @@
       status = code;
       contentType = headers['content-type'];
     },
-    data: (part) => {
-      bytes += part.length;
-      if (bytes > MAX_COPIED_BYTES) parts = undefined;
-      parts?.push(part);
+    data: (chunk) => {
+      bytes += chunk.length;
+      if (bytes > MAX_COPIED_BYTES) chunks = undefined;
+      chunks?.push(chunk);
     },
     outcome: () => ({
       status,
       ...(contentType !== undefined && { contentType }),
-      ...(parts && { body: Buffer.concat(parts).toString('base64') }),
+      ...(chunks && { body: Buffer.concat(chunks).toString('base64') }),
     }),
   };
 };
--- a/packages/agent/src/core/attempts/answer.ts
+++ b/packages/agent/src/core/attempts/answer.ts
@@ -25,13 +25,13 @@
   /** The entry holds `bytes` more. */
   credit(bytes: number): void;
   /** Goes on over this link from what the entry holds; false when those bytes are gone. */
-  attach(link: Link, holds: { head: boolean; bytes: number }): boolean;
+  attach(link: Link, received: { head: boolean; bytes: number }): boolean;
   detach(): void;
   /** Drops the bytes that are kept; only the outcome stays. */
-  forgetBytes(): void;
+  dropBytes(): void;
   link(): Link | undefined;
   /** Bytes that are kept. */
-  kept(): number;
+  bufferedBytes(): number;
   /** The entry has been sent everything, the outcome included. */
   delivered(): boolean;
 }
@@ -62,23 +62,23 @@
   let headSent = false;
   let outcomeSent = false;
   let pumping = false;
-  let forgotten = false;
-  let acked = 0;
+  let bytesDropped = false;
+  let acknowledged = 0;
   let sent = 0;
-  let produced = 0;
-  let releaseWriter: (() => void) | undefined;
+  let written = 0;
+  let resumeWriter: (() => void) | undefined;
 
-  const hasRoom = (): boolean => forgotten || produced - acked < INITIAL_CREDIT_BYTES;
+  const hasCapacity = (): boolean => bytesDropped || written - acknowledged < INITIAL_CREDIT_BYTES;
 
-  const letWriterGoOn = (): void => {
-    if (!hasRoom()) return;
-    releaseWriter?.();
-    releaseWriter = undefined;
+  const resumeWriterIfPossible = (): void => {
+    if (!hasCapacity()) return;
+    resumeWriter?.();
+    resumeWriter = undefined;
   };
 
   const sendOutcome = (to: Link, end: AttemptOutcome): void => {
     outcomeSent = true;
-    if (end.outcome === 'answered') to.send({ t: 'end', id, length: produced, load: load() });
+    if (end.outcome === 'answered') to.send({ t: 'end', id, length: written, load: load() });
     else if (end.outcome === 'unknown') {
       to.send({ t: 'unknown', id, reason: end.reason, load: load() });
     } else {
@@ -92,7 +92,7 @@
     const segment = segments[nextSegment];
     if (!segment) return;
     const from = sent - segment.offset;
-    const allowed = Math.min(MAX_CHUNK_BYTES, acked + INITIAL_CREDIT_BYTES - sent);
+    const allowed = Math.min(MAX_CHUNK_BYTES, acknowledged + INITIAL_CREDIT_BYTES - sent);
     const until = Math.min(segment.data.length, from + allowed);
     to.send({ t: 'chunk', id, offset: sent, data: segment.data.subarray(from, until) });
     sent += until - from;
@@ -100,14 +100,14 @@
   };
 
   /** Sends the next frame that may go; false when there is none. */
-  const step = (to: Link): boolean => {
+  const sendNextFrame = (to: Link): boolean => {
     if (head && !headSent) {
       headSent = true;
       to.send({ t: 'head', id, ...head });
       return true;
     }
-    if (sent < produced && !forgotten) {
-      if (sent - acked >= INITIAL_CREDIT_BYTES) return false;
+    if (sent < written && !bytesDropped) {
+      if (sent - acknowledged >= INITIAL_CREDIT_BYTES) return false;
       sendSegment(to);
       return true;
     }
@@ -118,24 +118,26 @@
   const pump = async (): Promise<void> => {
     if (pumping) return;
     pumping = true;
-    for (let to = link; to && step(to); to = link) await to.drained();
+    for (let to = link; to && sendNextFrame(to); to = link) await to.drained();
     pumping = false;
   };
 
   const acknowledge = (until: number): void => {
-    acked = Math.max(acked, Math.min(until, sent));
-    const firstKept = segments.findIndex(({ offset, data }) => offset + data.length > acked);
-    const dropped = firstKept < 0 ? segments.length : firstKept;
+    acknowledged = Math.max(acknowledged, Math.min(until, sent));
+    const firstUnacknowledged = segments.findIndex(
+      ({ offset, data }) => offset + data.length > acknowledged,
+    );
+    const dropped = firstUnacknowledged < 0 ? segments.length : firstUnacknowledged;
     segments = segments.slice(dropped);
     nextSegment = Math.max(0, nextSegment - dropped);
-    letWriterGoOn();
+    resumeWriterIfPossible();
   };
 
   const rewind = (until: number): void => {
     acknowledge(until);
     sent = until;
-    const found = segments.findIndex(({ offset, data }) => offset + data.length > until);
-    nextSegment = found < 0 ? segments.length : found;
+    const firstUnsent = segments.findIndex(({ offset, data }) => offset + data.length > until);
+    nextSegment = firstUnsent < 0 ? segments.length : firstUnsent;
   };
 
   return {
@@ -144,13 +146,13 @@
       void pump();
     },
     write: (data) => {
-      produced += data.length;
-      if (forgotten) return undefined;
-      segments.push({ offset: produced - data.length, data });
+      written += data.length;
+      if (bytesDropped) return undefined;
+      segments.push({ offset: written - data.length, data });
       void pump();
-      if (hasRoom()) return undefined;
+      if (hasCapacity()) return undefined;
       return new Promise((resolve) => {
-        releaseWriter = resolve;
+        resumeWriter = resolve;
       });
     },
     finish: (end) => {
@@ -158,29 +160,29 @@
       void pump();
     },
     credit: (bytes) => {
-      acknowledge(acked + bytes);
+      acknowledge(acknowledged + bytes);
       void pump();
     },
-    attach: (to, holds) => {
-      if (holds.bytes > sent) return false;
-      if (forgotten ? holds.bytes < produced : holds.bytes < acked) return false;
+    attach: (to, received) => {
+      if (received.bytes > sent) return false;
+      if (bytesDropped ? received.bytes < written : received.bytes < acknowledged) return false;
       link = to;
-      headSent = holds.head;
+      headSent = received.head;
       outcomeSent = false;
-      rewind(holds.bytes);
+      rewind(received.bytes);
       void pump();
       return true;
     },
     detach: () => {
       link = undefined;
     },
-    forgetBytes: () => {
-      forgotten = true;
+    dropBytes: () => {
+      bytesDropped = true;
       segments = [];
-      letWriterGoOn();
+      resumeWriterIfPossible();
     },
     link: () => link,
-    kept: () => (forgotten ? 0 : produced - acked),
+    bufferedBytes: () => (bytesDropped ? 0 : written - acknowledged),
     delivered: () => outcomeSent,
   };
 };
--- a/packages/agent/src/core/attempts/attempt.ts
+++ b/packages/agent/src/core/attempts/attempt.ts
@@ -16,13 +16,13 @@
   /** Whether the upstream has been given the attempt. */
   started(): boolean;
   /** What to run; undefined once the attempt has ended. */
-  work(): Dispatch | undefined;
+  dispatch(): Dispatch | undefined;
   /** Monotonic time of the end, in milliseconds; 0 before. */
   endedAt(): number;
-  leaveQueue(): void;
+  dequeue(): void;
   /** The upstream is about to be given the attempt. */
   start(): void;
-  end(outcome: AttemptOutcome, at: number): void;
+  end(outcome: AttemptOutcome, time: number): void;
   /** Its entry did not come back: nobody waits for the answer. */
   abandon(): void;
   abandoned(): boolean;
@@ -42,7 +42,7 @@
 /** Creates an attempt that waits in the queue. */
 export const createAttempt = (options: AttemptOptions): Attempt => {
   const { id, link, arrivedAt, load, onDelivered } = options;
-  let { work } = options;
+  let { work: dispatch } = options;
   let state: AttemptState = 'queued';
   let started = false;
   let endedAt = 0;
@@ -55,18 +55,18 @@
     arrivedAt,
     state: () => state,
     started: () => started,
-    work: () => work,
+    dispatch: () => dispatch,
     endedAt: () => endedAt,
-    leaveQueue: () => {
+    dequeue: () => {
       state = 'running';
     },
     start: () => {
       started = true;
     },
-    end: (outcome, at) => {
+    end: (outcome, time) => {
       state = 'ended';
-      endedAt = at;
-      work = undefined;
+      endedAt = time;
+      dispatch = undefined;
       attempt.answer.finish(outcome);
     },
     abandon: () => {
--- a/packages/agent/src/core/attempts/ended-attempts.ts
+++ b/packages/agent/src/core/attempts/ended-attempts.ts
@@ -4,52 +4,53 @@
 import type { Attempt } from './attempt.js';
 
 /** Bounds on what is kept. */
-export interface EndedLimits {
+export interface EndedAttemptLimits {
   /** How long the outcome of an ended attempt is kept, in milliseconds. */
-  rememberMs: number;
+  retentionMs: number;
   /** Most ended attempts that are kept. */
-  most: number;
+  maxEnded: number;
 }
 
 /** The ended attempts of an agent. */
 export interface EndedAttempts {
   add(attempt: Attempt): void;
   /** Whether the entry has everything of the attempt; true only at the moment it became so. */
-  noteDelivery(attempt: Attempt): boolean;
+  markDelivered(attempt: Attempt): boolean;
   /** The entry is gone: nobody waits for what is left of the answer. */
   abandon(attempt: Attempt): boolean;
   /** Ended attempts whose bytes or outcome the entry doesn't have yet. */
   undelivered(): number;
   /** Drops what is too old or too much; `drop` is told of each. */
-  expire(drop: (attempt: Attempt) => void): void;
+  expire(onExpired: (attempt: Attempt) => void): void;
 }
 
 /** Creates an empty set. */
-export const createEndedAttempts = (clock: Clock, limits: EndedLimits): EndedAttempts => {
+export const createEndedAttempts = (clock: Clock, limits: EndedAttemptLimits): EndedAttempts => {
   /** In the order of their ends. */
-  const kept = new Set<Attempt>();
+  const endedAttempts = new Set<Attempt>();
   const undelivered = new Set<Attempt>();
 
   const isExpired = (attempt: Attempt): boolean =>
-    kept.size > limits.most || attempt.endedAt() <= clock.monotonic() - limits.rememberMs;
+    endedAttempts.size > limits.maxEnded ||
+    attempt.endedAt() <= clock.monotonic() - limits.retentionMs;
 
   return {
     add: (attempt) => {
-      kept.add(attempt);
+      endedAttempts.add(attempt);
       if (!attempt.abandoned()) undelivered.add(attempt);
     },
-    noteDelivery: (attempt) => {
+    markDelivered: (attempt) => {
       const { answer } = attempt;
-      return answer.delivered() && answer.kept() === 0 && undelivered.delete(attempt);
+      return answer.delivered() && answer.bufferedBytes() === 0 && undelivered.delete(attempt);
     },
     abandon: (attempt) => undelivered.delete(attempt),
     undelivered: () => undelivered.size,
-    expire: (drop) => {
-      for (const attempt of kept) {
+    expire: (onExpired) => {
+      for (const attempt of endedAttempts) {
         if (!isExpired(attempt)) return;
-        kept.delete(attempt);
+        endedAttempts.delete(attempt);
         undelivered.delete(attempt);
-        drop(attempt);
+        onExpired(attempt);
       }
     },
   };
--- a/packages/agent/src/core/attempts/run-attempt.ts
+++ b/packages/agent/src/core/attempts/run-attempt.ts
@@ -4,9 +4,9 @@
 import type { Upstream, UpstreamOutcome } from '../upstream/upstream.js';
 import type { AttemptOutcome } from './answer.js';
 import type { Attempt } from './attempt.js';
-import { runsAtMostOnce } from './work.js';
+import { runsAtMostOnce } from './dispatch.js';
 
-const UNREACHABLE_RETRY_MS = 1_000;
+const UNREACHABLE_RETRY_DELAY_MS = 1_000;
 
 /** Sees an answer as it passes. */
 export interface AnswerObserver {
@@ -18,56 +18,66 @@
 export interface RunAttemptOptions {
   upstream: Upstream;
   /** The body as this upstream takes it. */
-  bodyOf: (work: Dispatch) => Uint8Array;
+  encodeBody: (dispatch: Dispatch) => Uint8Array;
   /** Statuses by which this upstream refuses what it can't serve now. */
-  refusals: readonly number[];
+  refusalStatuses: readonly number[];
   metrics: Metrics;
   /** Told of the first byte of an answer. */
   onFirstByte: (id: AttemptId) => void;
   observe?: AnswerObserver;
 }
 
-const outcomeOf = (ended: UpstreamOutcome, cancelled: boolean): AttemptOutcome => {
-  if (ended.outcome === 'whole') return { outcome: 'answered' };
-  if (ended.outcome === 'broken') {
+const toAttemptOutcome = (result: UpstreamOutcome, cancelled: boolean): AttemptOutcome => {
+  if (result.outcome === 'whole') return { outcome: 'answered' };
+  if (result.outcome === 'broken') {
     return { outcome: 'unknown', reason: cancelled ? 'cancelled' : 'upstream-broke-off' };
   }
   if (cancelled) return { outcome: 'not-run', reason: 'cancelled', retryAfterMs: 0 };
-  const retryAfterMs = UNREACHABLE_RETRY_MS;
+  const retryAfterMs = UNREACHABLE_RETRY_DELAY_MS;
   return { outcome: 'not-run', reason: 'upstream-unreachable', retryAfterMs };
 };
 
 /** Hands an attempt to the upstream and passes its answer on as it comes. */
 export const runAttempt = async (
   attempt: Attempt,
-  work: Dispatch,
-  begin: () => boolean,
-  { upstream, bodyOf, refusals, metrics, onFirstByte, observe }: RunAttemptOptions,
+  dispatch: Dispatch,
+  tryStart: () => boolean,
+  {
+    upstream,
+    encodeBody,
+    refusalStatuses,
+    metrics,
+    onFirstByte,
+    observe,
+  }: RunAttemptOptions,
 ): Promise<AttemptOutcome> => {
-  if (!begin()) return { outcome: 'not-run', reason: 'cancelled', retryAfterMs: 0 };
+  if (!tryStart()) return { outcome: 'not-run', reason: 'cancelled', retryAfterMs: 0 };
   const { answer, abort } = attempt;
-  const { method, path } = work;
-  const headers = upstreamHeaders(work.headers, work.resumeAfter);
-  let begun = false;
+  const { method, path } = dispatch;
+  const headers = upstreamHeaders(dispatch.headers, dispatch.resumeAfter);
+  let firstByteSeen = false;
   let refused = false;
-  const ended = await upstream.call(
-    { method, path, headers, body: bodyOf(work), runsAtMostOnce: runsAtMostOnce(work) },
+  const result = await upstream.call(
+    { method, path, headers, body: encodeBody(dispatch), runsAtMostOnce: runsAtMostOnce(dispatch) },
     {
       sent: () => {
         attempt.start();
-        metrics.count('attempts_started', { class: work.class, organisation: work.organisation });
+        metrics.count('attempts_started', {
+          class: dispatch.class,
+          organisation: dispatch.organisation,
+        });
         answer.link()?.send({ t: 'started', id: attempt.id });
       },
       head: (status, fields) => {
-        refused = refusals.includes(status);
+        refused = refusalStatuses.includes(status);
         if (refused) return;
         observe?.head(status, fields);
         answer.head(status, fields);
       },
       data: (bytes) => {
         if (refused) return undefined;
-        if (!begun) onFirstByte(attempt.id);
-        begun = true;
+        if (!firstByteSeen) onFirstByte(attempt.id);
+        firstByteSeen = true;
         observe?.data(bytes);
         return answer.write(bytes);
       },
@@ -76,5 +86,5 @@
   );
   // Such a status does not prove that nothing ran, so another attempt is the entry's to decide.
   if (refused) return { outcome: 'unknown', reason: 'upstream-refused' };
-  return outcomeOf(ended, abort.signal.aborted);
+  return toAttemptOutcome(result, abort.signal.aborted);
 };
--- a/packages/agent/src/core/attempts/run-keyed.ts
+++ b/packages/agent/src/core/attempts/run-keyed.ts
@@ -10,9 +10,9 @@
 import type { AnswerObserver } from './run-attempt.js';
 
 /** Least time that a claim is given, in milliseconds. */
-const MIN_CLAIM_MS = 100;
+const MIN_CLAIM_BUDGET_MS = 100;
 /** Tells the caller that the call ran earlier and this is the answer it had. */
-const REPLAYED = { 'x-plantaindrum-replayed': 'true' };
+const REPLAY_HEADERS = { 'x-plantaindrum-replayed': 'true' };
 
 /** What running keyed calls needs. */
 export interface KeyedRunnerOptions {
@@ -20,15 +20,15 @@
   /** Runs the call at the upstream. */
   run: (
     attempt: Attempt,
-    work: Dispatch,
-    begin: () => boolean,
+    dispatch: Dispatch,
+    tryStart: () => boolean,
     observe: AnswerObserver,
   ) => Promise<AttemptOutcome>;
   clock: Clock;
 }
 
 /** The same body at another path is another call, whose answer must not be given for this one. */
-const hashOfCall = ({ method, path }: Dispatch, bodyHash: string): string =>
+const hashCall = ({ method, path }: Dispatch, bodyHash: string): string =>
   createHash('sha256').update(`${method}\n${path}\n${bodyHash}`).digest('hex');
 
 const notRun = (reason: AgentReason, retryAfterMs: number): AttemptOutcome => ({
@@ -41,19 +41,19 @@
  * A repeat whose key's call runs, has run or may have run. Told "not run", the caller would send the
  * call again under another key, and it would run twice: so the outcome is unknown.
  */
-const unknown = (reason: AgentReason, begin: () => boolean): AttemptOutcome =>
-  begin() ? { outcome: 'unknown', reason } : notRun('cancelled', 0);
+const unknownOutcome = (reason: AgentReason, tryStart: () => boolean): AttemptOutcome =>
+  tryStart() ? { outcome: 'unknown', reason } : notRun('cancelled', 0);
 
 /** Why a call without the right to run did not run. */
-const refusalOf = (
+const refusalOutcome = (
   verdict: Exclude<ClaimVerdict, { verdict: 'first' | 'known' | 'held' }>,
-  begin: () => boolean,
+  tryStart: () => boolean,
 ): AttemptOutcome => {
   switch (verdict.verdict) {
     case 'key-reused':
       return notRun('claim-key-reused', 0);
     case 'key-expired':
-      return unknown('claim-key-expired', begin);
+      return unknownOutcome('claim-key-expired', tryStart);
     case 'log-down':
       return notRun('claim-log-down', verdict.retryAfterMs);
     default:
@@ -62,10 +62,10 @@
 };
 
 /** Gives the answer of the earlier call with the same key, if it is still held. */
-const replay = (attempt: Attempt, known: ClaimOutcome, begin: () => boolean): AttemptOutcome => {
-  if (known.body === undefined) return unknown('duplicate-known', begin);
-  if (!begin()) return notRun('cancelled', 0);
-  const headers: Record<string, string> = { ...REPLAYED };
+const replay = (attempt: Attempt, known: ClaimOutcome, tryStart: () => boolean): AttemptOutcome => {
+  if (known.body === undefined) return unknownOutcome('duplicate-known', tryStart);
+  if (!tryStart()) return notRun('cancelled', 0);
+  const headers: Record<string, string> = { ...REPLAY_HEADERS };
   if (known.contentType !== undefined) headers['content-type'] = known.contentType;
   attempt.answer.head(known.status, headers);
   const body = Buffer.from(known.body, 'base64');
@@ -73,15 +73,15 @@
   return { outcome: 'answered' };
 };
 
-const settle = async (
+const closeClaim = async (
   claims: Claims,
   claim: ClaimId,
   { outcome }: AttemptOutcome,
-  answered: ClaimOutcome,
+  answer: ClaimOutcome,
 ): Promise<void> => {
   // Waited for: a caller that has its whole answer may come again at once, elsewhere. Until the log has the outcome
   // the repeat is told "unknown"; the end of the answer follows the record, some ms later.
-  if (outcome === 'answered') await claims.finish(claim, answered);
+  if (outcome === 'answered') await claims.finish(claim, answer);
   // Waited for: the entry may try another upstream, whose claim would find the key still held.
   else if (outcome === 'not-run') await claims.release(claim);
   // Nobody can tell whether the call ran: the key stays taken, so that it never runs again.
@@ -92,28 +92,28 @@
 export const createKeyedRunner = (options: KeyedRunnerOptions) => {
   const { claims, clock } = options;
 
-  const claimFor = (attempt: Attempt, work: Dispatch, { key, bodyHash }: IdempotencyKey) => {
+  const claimKey = (attempt: Attempt, dispatch: Dispatch, { key, bodyHash }: IdempotencyKey) => {
     const waitedMs = clock.monotonic() - attempt.arrivedAt;
-    const budgetMs = Math.max(MIN_CLAIM_MS, work.budgetMs - waitedMs);
-    const callHash = hashOfCall(work, bodyHash);
-    return claims.claim({ organisation: work.organisation, key, bodyHash: callHash, budgetMs });
+    const budgetMs = Math.max(MIN_CLAIM_BUDGET_MS, dispatch.budgetMs - waitedMs);
+    const callHash = hashCall(dispatch, bodyHash);
+    return claims.claim({ organisation: dispatch.organisation, key, bodyHash: callHash, budgetMs });
   };
 
   return async (
     attempt: Attempt,
-    work: Dispatch,
+    dispatch: Dispatch,
     key: IdempotencyKey,
-    begin: () => boolean,
+    tryStart: () => boolean,
   ): Promise<AttemptOutcome> => {
-    const verdict = await claimFor(attempt, work, key);
-    if (verdict.verdict === 'known') return replay(attempt, verdict.outcome, begin);
+    const verdict = await claimKey(attempt, dispatch, key);
+    if (verdict.verdict === 'known') return replay(attempt, verdict.outcome, tryStart);
     if (verdict.verdict === 'held') {
-      return unknown(verdict.runningHere ? 'duplicate-in-progress' : 'claim-lost', begin);
+      return unknownOutcome(verdict.runningHere ? 'duplicate-in-progress' : 'claim-lost', tryStart);
     }
-    if (verdict.verdict !== 'first') return refusalOf(verdict, begin);
+    if (verdict.verdict !== 'first') return refusalOutcome(verdict, tryStart);
     const copy = createAnswerCopy();
-    const outcome = await options.run(attempt, work, begin, copy);
-    await settle(claims, verdict.claim, outcome, copy.outcome());
+    const outcome = await options.run(attempt, dispatch, tryStart, copy);
+    await closeClaim(claims, verdict.claim, outcome, copy.outcome());
     return outcome;
   };
 };
--- a/packages/agent/src/core/attempts/serving.ts
+++ b/packages/agent/src/core/attempts/serving.ts
@@ -8,19 +8,19 @@
 import { engineBody } from '../upstream/engine-body.js';
 import type { Upstream } from '../upstream/upstream.js';
 import { createUpstream } from '../upstream/upstream.js';
-import type { DeskLimits } from './desk.js';
-import { createAttemptDesk } from './desk.js';
+import type { AttemptLimits } from './attempt-manager.js';
+import { createAttemptManager } from './attempt-manager.js';
 import { runAttempt } from './run-attempt.js';
 import { createKeyedRunner } from './run-keyed.js';
-import type { AttemptDesk, AttemptRunner, QueuedAttempt } from './types.js';
+import type { AttemptManager, AttemptRunner, QueuedAttempt } from './types.js';
 
 /** Longest wait for the ends of keyed calls to reach the log when the agent stops. */
-const CLAIMS_FLUSH_MS = 3_000;
-const UNDELIVERED_FOR_EACH_SLOT = 8;
+const CLAIMS_FLUSH_TIMEOUT_MS = 3_000;
+const MAX_UNDELIVERED_PER_SLOT = 8;
 
-const defaultDeskLimits = {
-  rememberMs: 60_000,
-  most: 4_096,
+const defaultAttemptLimits = {
+  retentionMs: 60_000,
+  maxEnded: 4_096,
   graceMs: 5_000,
   heldBytes: 67_108_864,
 };
@@ -31,8 +31,8 @@
   instance: string;
   platformLog: Log;
   /** Whether new work of this entry is turned away for now. */
-  isClosedTo: (entry: Link) => boolean;
-  deskLimits?: Partial<DeskLimits>;
+  refusesEntry: (entry: Link) => boolean;
+  attemptLimits?: Partial<AttemptLimits>;
   clock: Clock;
   random: Random;
   metrics: Metrics;
@@ -40,7 +40,7 @@
 
 /** The serving side of an agent. */
 export interface Serving {
-  desk: AttemptDesk;
+  attemptManager: AttemptManager;
   load(): Load;
   /** Refuses new work, hands back what hasn't started, and waits for the rest to end. */
   drain(): Promise<void>;
@@ -48,7 +48,7 @@
 }
 
 /** An engine says so when it is full or not up; a plain service's statuses are its own answers. */
-const ENGINE_REFUSALS = [429, 503];
+const ENGINE_REFUSAL_STATUSES = [429, 503];
 
 const createRunner = (
   { settings, clock, metrics }: ServingOptions,
@@ -56,23 +56,38 @@
   queue: AgentQueue<QueuedAttempt>,
   claims: Claims,
 ): AttemptRunner => {
-  const bodyOf = settings.upstream.kind === 'model' ? engineBody : ({ body }: Dispatch) => body;
-  const refusals = settings.upstream.kind === 'model' ? ENGINE_REFUSALS : [];
-  const parts = { upstream, bodyOf, refusals, metrics, onFirstByte: queue.answering };
+  const encodeBody = settings.upstream.kind === 'model' ? engineBody : ({ body }: Dispatch) => body;
+  const refusalStatuses = settings.upstream.kind === 'model' ? ENGINE_REFUSAL_STATUSES : [];
+  const runOptions = {
+    upstream,
+    encodeBody,
+    refusalStatuses,
+    metrics,
+    onFirstByte: queue.answering,
+  };
   const runKeyed = createKeyedRunner({
     claims,
-    run: (attempt, work, begin, observe) => runAttempt(attempt, work, begin, { ...parts, observe }),
+    run: (attempt, dispatch, tryStart, observe) =>
+      runAttempt(attempt, dispatch, tryStart, { ...runOptions, observe }),
     clock,
   });
-  return (attempt, work, begin) =>
-    work.idempotency
-      ? runKeyed(attempt, work, work.idempotency, begin)
-      : runAttempt(attempt, work, begin, parts);
+  return (attempt, dispatch, tryStart) =>
+    dispatch.idempotency
+      ? runKeyed(attempt, dispatch, dispatch.idempotency, tryStart)
+      : runAttempt(attempt, dispatch, tryStart, runOptions);
 };
 
 /** Creates the serving side of an agent. */
 export const createServing = (options: ServingOptions): Serving => {
-  const { settings, instance, platformLog, isClosedTo, clock, random, metrics } = options;
+  const {
+    settings,
+    instance,
+    platformLog,
+    refusesEntry,
+    clock,
+    random,
+    metrics,
+  } = options;
   const { queue: capacity, concurrency } = settings.limits;
   const upstream = createUpstream(settings.upstream.url);
   const queue = createAgentQueue<QueuedAttempt>({ clock, random, capacity, concurrency });
@@ -82,33 +97,33 @@
     const { queued, running, drainPerSecond, leaving } = queue.load();
     return { queued, running, drainPerSecond, leaving };
   };
-  const desk = createAttemptDesk({
+  const attemptManager = createAttemptManager({
     queue,
-    ledger: createAttemptLedger(),
+    registry: createAttemptLedger(),
     run: createRunner(options, upstream, queue, claims),
     load,
-    isClosedTo,
+    refusesEntry,
     limits: {
-      ...defaultDeskLimits,
+      ...defaultAttemptLimits,
       concurrency,
-      mostUndelivered: concurrency * UNDELIVERED_FOR_EACH_SLOT,
-      ...options.deskLimits,
+      maxUndelivered: concurrency * MAX_UNDELIVERED_PER_SLOT,
+      ...options.attemptLimits,
     },
     clock,
     metrics,
   });
 
   return {
-    desk,
+    attemptManager,
     load,
     drain: async () => {
-      desk.leave();
-      await desk.idle();
-      await claims.flush(CLAIMS_FLUSH_MS);
+      attemptManager.drain();
+      await attemptManager.idle();
+      await claims.flush(CLAIMS_FLUSH_TIMEOUT_MS);
     },
     close: async () => {
       claims.close();
-      desk.close();
+      attemptManager.close();
       await upstream.close();
     },
   };
--- a/packages/agent/src/core/entries.ts
+++ b/packages/agent/src/core/entries.ts
@@ -3,7 +3,7 @@
 import type { Logger, Metrics } from '@plantaindrum/common';
 import type { FrameHandler, Link, PeerFrame } from '@plantaindrum/link';
 import { parseAttemptId } from '@plantaindrum/requests';
-import type { AttemptDesk } from './attempts/types.js';
+import type { AttemptManager } from './attempts/types.js';
 
 /** The entries that are linked to this agent. */
 export interface Entries {
@@ -16,7 +16,7 @@
 
 /** What the entries' links need. */
 export interface EntriesOptions {
-  desk: AttemptDesk;
+  attemptManager: AttemptManager;
   isLeaving: () => boolean;
   metrics: Metrics;
   log: Logger;
@@ -24,31 +24,31 @@
 
 /** Creates an empty set of entries. */
 export const createEntries = (options: EntriesOptions): Entries => {
-  const { desk, metrics, log } = options;
+  const { attemptManager, metrics, log } = options;
   const links = new Map<string, Link>();
 
   /** An id of another entry's instance can only be a fault: its answer would go astray. */
-  const isForeign = (frame: PeerFrame, link: Link): boolean =>
+  const namesForeignAttempt = (frame: PeerFrame, link: Link): boolean =>
     'id' in frame && parseAttemptId(frame.id).instance !== link.peer.instance;
 
-  const take = (frame: PeerFrame, link: Link): void => {
-    if (isForeign(frame, link)) {
+  const handleFrame = (frame: PeerFrame, link: Link): void => {
+    if (namesForeignAttempt(frame, link)) {
       metrics.count('frames_refused', { reason: 'foreign-attempt' });
       link.close();
       return;
     }
     switch (frame.t) {
       case 'dispatch':
-        desk.dispatch(frame, link);
+        attemptManager.dispatch(frame, link);
         break;
       case 'cancel':
-        desk.cancel(frame.id, link);
+        attemptManager.cancel(frame.id, link);
         break;
       case 'query':
-        desk.query(frame.id, { head: frame.headReceived, bytes: frame.received }, link);
+        attemptManager.query(frame.id, { head: frame.headReceived, bytes: frame.received }, link);
         break;
       case 'credit':
-        desk.credit(frame.id, frame.bytes, link);
+        attemptManager.credit(frame.id, frame.bytes, link);
         break;
       case 'pong':
         break;
@@ -57,10 +57,10 @@
     }
   };
 
-  const onEnded = (link: Link, reason: string): void => {
+  const handleLinkClosed = (link: Link, reason: string): void => {
     if (links.get(link.peer.instance) === link) links.delete(link.peer.instance);
     log.info(`entry ${link.peer.node} is gone: ${reason}`);
-    desk.linkLost(link);
+    attemptManager.linkLost(link);
   };
 
   return {
@@ -70,9 +70,9 @@
       links.get(instance)?.close();
       links.set(instance, link);
       log.info(`entry ${node} is linked`);
-      void link.closed.then((reason) => onEnded(link, reason));
+      void link.closed.then((reason) => handleLinkClosed(link, reason));
       if (options.isLeaving()) link.send({ t: 'leaving' });
-      return (frame) => take(frame, link);
+      return (frame) => handleFrame(frame, link);
     },
     announceLeaving: () => {
       links.forEach((link) => link.send({ t: 'leaving' }));
--- a/packages/agent/src/core/group/engine-port.ts
+++ b/packages/agent/src/core/group/engine-port.ts
@@ -2,7 +2,7 @@
 import type { EngineOrderClient, PlatformFailure } from '@plantaindrum/service-clients';
 
 /** Only an answer of the engine proves that an order has no effect; any other failure may. */
-const failedOrder = (failure: PlatformFailure): OrderOutcome =>
+const failedOrderOutcome = (failure: PlatformFailure): OrderOutcome =>
   failure.kind === 'rejected'
     ? { outcome: 'refused', reason: failure.detail }
     : { outcome: 'lost' };
@@ -16,7 +16,7 @@
 export const createEnginePort = (client: EngineOrderClient): EnginePort => ({
   order: async (name, body) => {
     const sent = await client.order(name, body as { fence: number } & Record<string, unknown>);
-    if (!sent.ok) return failedOrder(sent.err);
+    if (!sent.ok) return failedOrderOutcome(sent.err);
     return sent.value.outcome === 'done' ? { outcome: 'done' } : sent.value;
   },
   state: async () => {
--- a/packages/agent/src/core/group/group.ts
+++ b/packages/agent/src/core/group/group.ts
@@ -62,7 +62,7 @@
     random,
     metrics,
   });
-  const context = {
+  const sharedOptions = {
     group,
     node: node.name,
     instance,
@@ -76,26 +76,26 @@
     timings: { planMs: layout.planMs, ...options.timings },
   };
   const member = createGroupMember({
-    ...context,
+    ...sharedOptions,
     rankCount: layout.rankCount,
     ranks,
     engine: createEnginePort(engineClient),
   });
   const coordinator = createCoordinator({
-    ...context,
+    ...sharedOptions,
     member,
     layout,
     weighs: () => options.weighs(group) ?? options.weighs(peers.model() ?? group) ?? 'skew',
     mayMove: options.mayMove,
   });
 
-  const handlerOf = (method: ExpertMethod): [string, CallHandler] => [
+  const handlerEntry = (method: ExpertMethod): [string, CallHandler] => [
     method,
     (args) => member.serve(method, args),
   ];
 
   return {
-    handlers: Object.fromEntries(EXPERT_METHODS.map(handlerOf)),
+    handlers: Object.fromEntries(EXPERT_METHODS.map(handlerEntry)),
     run: () => {
       void member.run();
       void coordinator.run();
--- a/packages/agent/src/core/group/peers.ts
+++ b/packages/agent/src/core/group/peers.ts
@@ -6,8 +6,8 @@
 import type { Link, LinkClient } from '@plantaindrum/link';
 import type { PlatformFailure, Vm } from '@plantaindrum/service-clients';
 
-const SEARCH_MS = 1_000;
-const WATCH_MS = 30_000;
+const SEARCH_INTERVAL_MS = 1_000;
+const REFRESH_INTERVAL_MS = 30_000;
 
 /** What keeping the peers linked needs. */
 export interface GroupPeersOptions {
@@ -34,14 +34,14 @@
   close(): Promise<void>;
 }
 
-interface Dialled {
+interface DialledPeer {
   address: string;
   client: LinkClient;
 }
 
-const addressOf = (address: string): { host: string; port: number } => {
-  const at = address.lastIndexOf(':');
-  return { host: address.slice(0, at), port: Number(address.slice(at + 1)) };
+const parseAddress = (address: string): { host: string; port: number } => {
+  const separator = address.lastIndexOf(':');
+  return { host: address.slice(0, separator), port: Number(address.slice(separator + 1)) };
 };
 
 /** Starts to look for the peers of a group. */
@@ -49,33 +49,33 @@
   const { group, self, rankCount, clock, random, metrics } = options;
   const pause = createPause(clock);
   const links = new Map<string, Link>();
-  const dialled = new Map<string, Dialled>();
-  let others: Vm[] = [];
+  const dialled = new Map<string, DialledPeer>();
+  let otherVms: Vm[] = [];
   let model: string | undefined;
   let closed = false;
 
   const members = (): GroupPeer[] => [
     self,
-    ...others.map(({ name, ranks }) => ({ node: name, ranks: ranks ?? [] })),
+    ...otherVms.map(({ name, ranks }) => ({ node: name, ranks: ranks ?? [] })),
   ];
 
-  const isComplete = (): boolean => {
-    const reached = members().filter(({ node }) => node === self.node || links.has(node));
-    return new Set(reached.flatMap(({ ranks }) => ranks)).size >= rankCount;
+  const allRanksReachable = (): boolean => {
+    const reachable = members().filter(({ node }) => node === self.node || links.has(node));
+    return new Set(reachable.flatMap(({ ranks }) => ranks)).size >= rankCount;
   };
 
   /** Of each pair the node whose name comes first dials, so that there is one link and not two. */
-  const isOursToDial = ({ name }: Vm): boolean => self.node < name;
+  const shouldDial = ({ name }: Vm): boolean => self.node < name;
 
   const dial = ({ name, address }: Vm): void => {
-    const old = dialled.get(name);
-    if (old?.address === address) return;
-    void old?.client.close();
-    dialled.set(name, { address, client: options.connect(addressOf(address)) });
+    const existing = dialled.get(name);
+    if (existing?.address === address) return;
+    void existing?.client.close();
+    dialled.set(name, { address, client: options.connect(parseAddress(address)) });
   };
 
   const dropUnlisted = (): void => {
-    const listed = new Set(others.map(({ name }) => name));
+    const listed = new Set(otherVms.map(({ name }) => name));
     [...dialled].forEach(([name, { client }]) => {
       if (listed.has(name)) return;
       dialled.delete(name);
@@ -91,16 +91,18 @@
       return;
     }
     model = listed.value.find(({ name }) => name === self.node)?.model ?? model;
-    others = listed.value.filter((vm) => vm.group === group && vm.name !== self.node);
-    others.filter(isOursToDial).forEach(dial);
+    otherVms = listed.value.filter((vm) => vm.group === group && vm.name !== self.node);
+    otherVms.filter(shouldDial).forEach(dial);
     dropUnlisted();
   };
 
   // The list is long in a large fleet, so it is only read often while a peer is missing.
-  const watch = async (): Promise<void> => {
+  const refreshLoop = async (): Promise<void> => {
     while (!closed) {
       await refresh();
-      await pause.wait((isComplete() ? WATCH_MS : SEARCH_MS) * (0.5 + random()));
+      await pause.wait(
+        (allRanksReachable() ? REFRESH_INTERVAL_MS : SEARCH_INTERVAL_MS) * (0.5 + random()),
+      );
     }
   };
 
@@ -113,7 +115,7 @@
     });
   };
 
-  const task = watch();
+  const task = refreshLoop();
 
   return {
     members,
--- a/packages/agent/src/core/links.ts
+++ b/packages/agent/src/core/links.ts
@@ -37,9 +37,9 @@
 /** The links of an agent. */
 export interface AgentLinks {
   /** Serves further methods that peers may call. */
-  serve(handlers: Record<string, CallHandler>): void;
+  addHandlers(handlers: Record<string, CallHandler>): void;
   /** Tells of each link with another agent. */
-  onAgent(fn: (link: Link) => void): void;
+  onAgentLink(fn: (link: Link) => void): void;
   /** Starts to keep another agent linked. */
   connect(address: { host: string; port: number }): LinkClient;
   /** Starts to accept links; rejects when the address can't be listened on. */
@@ -54,12 +54,12 @@
   const { name, dataCentre, region } = settings.node;
   const { frameBytes, connections } = settings.limits;
   const handlers: Record<string, CallHandler> = { ...intent.handlers };
-  let tellOfAgent: (link: Link) => void = () => {};
+  let handleAgentLink: (link: Link) => void = () => {};
 
   const onLink = (link: Link): FrameHandler => {
     intent.onLink(link);
     if (link.peer.role === 'entry') return options.onEntry(link);
-    tellOfAgent(link);
+    handleAgentLink(link);
     return ignoreFrames;
   };
 
@@ -77,11 +77,11 @@
   };
 
   return {
-    serve: (more) => {
+    addHandlers: (more) => {
       Object.assign(handlers, more);
     },
-    onAgent: (fn) => {
-      tellOfAgent = fn;
+    onAgentLink: (fn) => {
+      handleAgentLink = fn;
     },
     connect: (address) =>
       createLinkClient({ ...linkOptions, connect: address, backoff: defaultBackoff, random }),
--- a/packages/agent/src/core/operators/door.ts
+++ b/packages/agent/src/core/operators/operator-server.ts
@@ -6,7 +6,7 @@
 import type { AddressInfo } from 'node:net';
 
 /** What the door shows. */
-export interface OperatorsDoorOptions {
+export interface OperatorServerOptions {
   listen: { host: string; port: number };
   token: string;
   /** Most open connections. */
@@ -19,7 +19,7 @@
 }
 
 /** An open door. */
-export interface OperatorsDoor {
+export interface OperatorServer {
   readonly url: string;
   close(): Promise<void>;
 }
@@ -42,10 +42,12 @@
 };
 
 /** Opens the door; rejects when the address can't be listened on. */
-export const openOperatorsDoor = async (options: OperatorsDoorOptions): Promise<OperatorsDoor> => {
+export const createOperatorServer = async (
+  options: OperatorServerOptions,
+): Promise<OperatorServer> => {
   const { listen, token, ready } = options;
 
-  const answer = (req: IncomingMessage, res: ServerResponse): void => {
+  const handleRequest = (req: IncomingMessage, res: ServerResponse): void => {
     const { pathname } = new URL(req.url ?? '/', 'http://agent');
     if (req.method !== 'GET') {
       sendJson(res, 405, { error: 'method-not-allowed' });
@@ -65,7 +67,7 @@
     else sendJson(res, 404, { error: 'unknown-path' });
   };
 
-  const server = createServer(answer);
+  const server = createServer(handleRequest);
   server.maxConnections = options.connections;
   await new Promise<void>((resolve, reject) => {
     server.once('error', reject);
--- a/packages/agent/src/core/status.ts
+++ b/packages/agent/src/core/status.ts
@@ -4,7 +4,7 @@
 import type { IntentFreshness, IntentReader, NodeDuty } from '@plantaindrum/intent';
 import { nodeDuty } from '@plantaindrum/intent';
 import type { Load } from '@plantaindrum/link';
-import type { AttemptDesk } from './attempts/types.js';
+import type { AttemptManager } from './attempts/types.js';
 
 /** The document of `GET /status`, and of the call `node.status`. */
 export interface AgentStatus {
@@ -16,7 +16,7 @@
   /** Requests that are queued or running. */
   inFlight: number;
   load: Load;
-  attempts: ReturnType<AttemptDesk['counts']>;
+  attempts: ReturnType<AttemptManager['counts']>;
   /** Entries that are linked. */
   entries: number;
   intent: { offset: number; freshness: IntentFreshness };
@@ -30,7 +30,7 @@
   instance: string;
   ready: () => boolean;
   load: () => Load;
-  desk: AttemptDesk;
+  attemptManager: AttemptManager;
   entries: () => number;
   intent: IntentReader;
   group: () => unknown;
@@ -38,8 +38,8 @@
 
 /** Makes the document of `GET /status`. */
 export const agentStatus = (options: AgentStatusOptions): AgentStatus => {
-  const { settings, instance, desk, intent } = options;
-  const attempts = desk.counts();
+  const { settings, instance, attemptManager, intent } = options;
+  const attempts = attemptManager.counts();
   const group = options.group();
   const load = options.load();
   const inFlight = attempts.queued + attempts.running;
--- a/packages/agent/src/core/upstream/headers.ts
+++ b/packages/agent/src/core/upstream/headers.ts
@@ -13,8 +13,8 @@
   );
   const named = namedByConnection(lower.find(([name]) => name === 'connection')?.[1]);
   const kept = lower.filter(([name]) => !isHopByHop(name) && !isSetAnew(name) && !named.has(name));
-  const passed = Object.fromEntries(kept);
-  return resumeAfter === undefined ? passed : { ...passed, 'last-event-id': resumeAfter };
+  const forwarded = Object.fromEntries(kept);
+  return resumeAfter === undefined ? forwarded : { ...forwarded, 'last-event-id': resumeAfter };
 };
 
 /** The header of an upstream's answer as it travels to the entry. */
--- a/packages/agent/src/core/upstream/upstream.ts
+++ b/packages/agent/src/core/upstream/upstream.ts
@@ -15,7 +15,7 @@
 }
 
 /** Takes the upstream's answer as it arrives. */
-export interface UpstreamSink {
+export interface ResponseSink {
   /** Called right before the first byte is written to the upstream. */
   sent(): void;
   head(status: number, headers: Record<string, string>): void;
@@ -31,11 +31,11 @@
 
 /** The upstream beside this agent. */
 export interface Upstream {
-  call(req: UpstreamRequest, sink: UpstreamSink, signal: AbortSignal): Promise<UpstreamOutcome>;
+  call(req: UpstreamRequest, sink: ResponseSink, signal: AbortSignal): Promise<UpstreamOutcome>;
   close(): Promise<void>;
 }
 
-const ABORTED = new Error('the call was cancelled');
+const ABORT_ERROR = new Error('the call was cancelled');
 
 const dispatchOptions = (req: UpstreamRequest): Dispatcher.DispatchOptions => ({
   method: req.method,
@@ -49,7 +49,7 @@
 const runCall = (
   pool: Pool,
   req: UpstreamRequest,
-  sink: UpstreamSink,
+  sink: ResponseSink,
   signal: AbortSignal,
 ): Promise<UpstreamOutcome> =>
   new Promise((resolve) => {
@@ -57,17 +57,17 @@
     let abort = (): void => {};
     const onAbort = (): void => abort();
     signal.addEventListener('abort', onAbort);
-    const settle = (outcome: UpstreamOutcome): void => {
+    const finish = (outcome: UpstreamOutcome): void => {
       signal.removeEventListener('abort', onAbort);
       resolve(outcome);
     };
     pool.dispatch(dispatchOptions(req), {
       onRequestStart: (controller) => {
         if (signal.aborted) {
-          controller.abort(ABORTED);
+          controller.abort(ABORT_ERROR);
           return;
         }
-        abort = () => controller.abort(ABORTED);
+        abort = () => controller.abort(ABORT_ERROR);
         sent = true;
         sink.sent();
       },
@@ -75,14 +75,14 @@
         if (status >= 200) sink.head(status, answerHeaders(headers));
       },
       onResponseData: (controller, bytes) => {
-        const room = sink.data(bytes);
-        if (!room) return;
+        const resumed = sink.data(bytes);
+        if (!resumed) return;
         controller.pause();
-        void room.then(() => controller.resume());
+        void resumed.then(() => controller.resume());
       },
-      onResponseEnd: () => settle({ outcome: 'whole' }),
+      onResponseEnd: () => finish({ outcome: 'whole' }),
       onResponseError: (_, err) => {
-        settle({ outcome: sent ? 'broken' : 'not-sent', detail: err.message });
+        finish({ outcome: sent ? 'broken' : 'not-sent', detail: err.message });
       },
     });
   });
@@ -94,13 +94,14 @@
  * can cross the request, and nobody could tell whether it ran.
  */
 export const createUpstream = (url: string): Upstream => {
-  const kept = new Pool(url, { pipelining: 1 });
-  const fresh = new Pool(url, { pipelining: 1 });
+  const keepAlivePool = new Pool(url, { pipelining: 1 });
+  const singleUsePool = new Pool(url, { pipelining: 1 });
 
   return {
-    call: (req, sink, signal) => runCall(req.runsAtMostOnce ? fresh : kept, req, sink, signal),
+    call: (req, sink, signal) =>
+      runCall(req.runsAtMostOnce ? singleUsePool : keepAlivePool, req, sink, signal),
     close: async () => {
-      await Promise.all([kept.destroy(), fresh.destroy()]);
+      await Promise.all([keepAlivePool.destroy(), singleUsePool.destroy()]);
     },
   };
 };
--- a/packages/agent/test/agent.test.ts
+++ b/packages/agent/test/agent.test.ts
@@ -211,7 +211,7 @@
     const agent = await startTestAgent(
       upstream.url,
       { concurrency: 1 },
-      { deskLimits: { heldBytes: 25 } },
+      { attemptLimits: { heldBytes: 25 } },
     );
     opened.push({ close: agent.stop });
     const entry = enter(agent.link);
