--- a/packages/agent/src/cli/main.ts
+++ b/packages/agent/src/cli/main.ts
@@ -51,7 +51,7 @@
 const formatFault = (file: string, { line, key, found, expected }: SettingsFault): string =>
   `${file}:${line}: ${key}: found ${found}, expected: ${expected}\n`;
 
-/** The first signal stops the agent gracefully, a second one ends the process at once. */
+/** The first signal stops the agent gracefully, a second one exits immediately. */
 const stopOnSignals = (agent: Agent, log: Logger): void => {
   let stopping = false;
   const onSignal = (signal: string): void => {
@@ -85,7 +85,7 @@
     const { operators, link } = agent;
     process.stdout.write(`${JSON.stringify({ ready: true, operators, link })}\n`);
   } catch (err) {
-    log.error(`cannot start: ${err instanceof Error ? err.message : String(err)}`);
+    log.error(`failed to start: ${err instanceof Error ? err.message : String(err)}`);
     process.exit(exitCodes.unreachable);
   }
 };
--- a/packages/agent/src/core/agent.ts
+++ b/packages/agent/src/core/agent.ts
@@ -1,4 +1,4 @@
-/** An agent: the queue, the upstream, the links, the intent and the expert group put together. */
+/** Assembles an agent: queue, upstream, links, intent and expert group. */
 
 import { randomBytes } from 'node:crypto';
 import type { AgentSettings, Clock, Logger, Metrics, Random } from '@plantaindrum/common';
@@ -17,7 +17,7 @@
 import { createOperatorServer } from './operators/operator-server.js';
 import { agentStatus } from './status.js';
 
-/** What an agent needs besides its settings. */
+/** Options of `startAgent`. */
 export interface AgentOptions {
   settings: AgentSettings;
   clock: Clock;
@@ -31,10 +31,10 @@
 
 /** A running agent. */
 export interface Agent {
-  /** Addresses of its doors, as the ready line gives them. */
+  /** Addresses of its servers, as printed in the ready line. */
   readonly operators: string;
   readonly link: string;
-  /** Hands back what hasn't started, finishes what runs, then closes. */
+  /** Returns queued requests as "not run", finishes running ones, then closes. */
   stop(): Promise<void>;
 }
 
@@ -44,7 +44,7 @@
   return createIntentReader({ log, clock, random, metrics, logger, follow: 'peers' });
 };
 
-/** Starts an agent; rejects when an address can't be listened on. */
+/** Starts an agent; rejects if it can't listen on an address. */
 export const startAgent = async (options: AgentOptions): Promise<Agent> => {
   const { settings, clock, random, metrics, log } = options;
   const { node, platform } = settings;
@@ -54,7 +54,7 @@
   const vmList = createVmListClient({ url: platform.vmListUrl, client: node.name });
   const intent = createIntent(options, platformLog);
 
-  // Agents stop last: the entries of a data centre that is being stopped still finish their work.
+  // Agents of a stopping data centre still serve its own entries, which have requests to finish.
   const refusesEntry = (entry: Link): boolean =>
     entry.peer.dataCentre !== node.dataCentre &&
     isStopped(intent.current().document, node.dataCentre);
@@ -122,7 +122,7 @@
   group?.run();
 
   const stop = async (): Promise<void> => {
-    log.info('leaving: no new work');
+    log.info('draining: new requests are refused');
     const drained = serving.drain();
     entries.announceLeaving();
     await drained;
--- a/packages/agent/src/core/attempts/answer-copy.ts
+++ b/packages/agent/src/core/attempts/answer-copy.ts
@@ -1,12 +1,12 @@
 import type { ClaimOutcome } from '@plantaindrum/requests';
 import type { AnswerObserver } from './run-attempt.js';
 
-/** Longer answers are not kept with their key. */
+/** Longer answers are not stored with their idempotency key. */
 const MAX_COPIED_BYTES = 768;
 
-/** A copy of a small answer, taken as it passes. */
+/** Records a small answer while it is forwarded. */
 export interface AnswerCopy extends AnswerObserver {
-  /** The answer as a claim keeps it; without a body when that was too long. */
+  /** The answer in the form that a claim stores; without a body if it was too long. */
   outcome(): ClaimOutcome;
 }
 
--- a/packages/agent/src/core/attempts/answer.ts
+++ b/packages/agent/src/core/attempts/answer.ts
@@ -1,7 +1,7 @@
 /**
- * The answer of one attempt on its way to the entry. Bytes are kept until the entry has granted
- * credit for them, so that a lost link costs nothing: the entry says on its next link how much it
- * holds, and the rest is sent from there.
+ * Sends the answer of one attempt to its entry. Bytes are buffered until the entry grants credit for
+ * them, so that a lost link loses no data: on its next link the entry reports how much it has
+ * received, and sending resumes from there.
  */
 
 import type { AgentReason, AttemptId, Link, Load } from '@plantaindrum/link';
@@ -18,21 +18,21 @@
 /** The answer of one attempt. */
 export interface Answer {
   head(status: number, headers: Record<string, string>): void;
-  /** Takes bytes; a promise resolves once there is room for more. */
+  /** Queues bytes; a returned promise resolves once the buffer accepts more. */
   write(data: Uint8Array): Promise<void> | undefined;
-  /** Says how the attempt ended, after every byte before. */
+  /** Sends the outcome of the attempt after all bytes written before. */
   finish(outcome: AttemptOutcome): void;
-  /** The entry holds `bytes` more. */
+  /** The entry has processed `bytes` more. */
   credit(bytes: number): void;
-  /** Goes on over this link from what the entry holds; false when those bytes are gone. */
+  /** Resumes over this link after what the entry has received; false if the next bytes were dropped. */
   attach(link: Link, received: { head: boolean; bytes: number }): boolean;
   detach(): void;
-  /** Drops the bytes that are kept; only the outcome stays. */
+  /** Drops the buffered bytes and keeps only the outcome. */
   dropBytes(): void;
   link(): Link | undefined;
-  /** Bytes that are kept. */
+  /** Number of bytes for which the entry has not granted credit yet. */
   bufferedBytes(): number;
-  /** The entry has been sent everything, the outcome included. */
+  /** Whether everything, including the outcome, has been sent. */
   delivered(): boolean;
 }
 
@@ -41,13 +41,13 @@
   data: Uint8Array;
 }
 
-/** What an answer needs. */
+/** Options of `createAnswer`. */
 export interface AnswerOptions {
   id: AttemptId;
-  /** The link that the dispatch came over; none for an attempt that only has a tombstone. */
+  /** The link of the dispatch; undefined for an attempt that only has a tombstone. */
   link: Link | undefined;
   load: () => Load;
-  /** Told when the outcome has been sent. */
+  /** Called when the outcome has been sent. */
   onDelivered: () => void;
 }
 
@@ -76,54 +76,54 @@
     resumeWriter = undefined;
   };
 
-  const sendOutcome = (to: Link, end: AttemptOutcome): void => {
+  const sendOutcome = (target: Link, result: AttemptOutcome): void => {
     outcomeSent = true;
-    if (end.outcome === 'answered') to.send({ t: 'end', id, length: written, load: load() });
-    else if (end.outcome === 'unknown') {
-      to.send({ t: 'unknown', id, reason: end.reason, load: load() });
+    if (result.outcome === 'answered') target.send({ t: 'end', id, length: written, load: load() });
+    else if (result.outcome === 'unknown') {
+      target.send({ t: 'unknown', id, reason: result.reason, load: load() });
     } else {
-      const { reason, retryAfterMs } = end;
-      to.send({ t: 'not-run', id, reason, retryAfterMs, load: load() });
+      const { reason, retryAfterMs } = result;
+      target.send({ t: 'not-run', id, reason, retryAfterMs, load: load() });
     }
     onDelivered();
   };
 
-  const sendSegment = (to: Link): void => {
+  const sendSegment = (target: Link): void => {
     const segment = segments[nextSegment];
     if (!segment) return;
-    const from = sent - segment.offset;
+    const start = sent - segment.offset;
     const allowed = Math.min(MAX_CHUNK_BYTES, acknowledged + INITIAL_CREDIT_BYTES - sent);
-    const until = Math.min(segment.data.length, from + allowed);
-    to.send({ t: 'chunk', id, offset: sent, data: segment.data.subarray(from, until) });
-    sent += until - from;
-    if (until === segment.data.length) nextSegment += 1;
+    const end = Math.min(segment.data.length, start + allowed);
+    target.send({ t: 'chunk', id, offset: sent, data: segment.data.subarray(start, end) });
+    sent += end - start;
+    if (end === segment.data.length) nextSegment += 1;
   };
 
-  /** Sends the next frame that may go; false when there is none. */
-  const sendNextFrame = (to: Link): boolean => {
+  /** Sends the next frame that credit allows; false if nothing more can be sent now. */
+  const sendNextFrame = (target: Link): boolean => {
     if (head && !headSent) {
       headSent = true;
-      to.send({ t: 'head', id, ...head });
+      target.send({ t: 'head', id, ...head });
       return true;
     }
     if (sent < written && !bytesDropped) {
       if (sent - acknowledged >= INITIAL_CREDIT_BYTES) return false;
-      sendSegment(to);
+      sendSegment(target);
       return true;
     }
-    if (outcome && !outcomeSent) sendOutcome(to, outcome);
+    if (outcome && !outcomeSent) sendOutcome(target, outcome);
     return false;
   };
 
   const pump = async (): Promise<void> => {
     if (pumping) return;
     pumping = true;
-    for (let to = link; to && sendNextFrame(to); to = link) await to.drained();
+    for (let target = link; target && sendNextFrame(target); target = link) await target.drained();
     pumping = false;
   };
 
-  const acknowledge = (until: number): void => {
-    acknowledged = Math.max(acknowledged, Math.min(until, sent));
+  const acknowledge = (position: number): void => {
+    acknowledged = Math.max(acknowledged, Math.min(position, sent));
     const firstUnacknowledged = segments.findIndex(
       ({ offset, data }) => offset + data.length > acknowledged,
     );
@@ -133,10 +133,10 @@
     resumeWriterIfPossible();
   };
 
-  const rewind = (until: number): void => {
-    acknowledge(until);
-    sent = until;
-    const firstUnsent = segments.findIndex(({ offset, data }) => offset + data.length > until);
+  const rewind = (position: number): void => {
+    acknowledge(position);
+    sent = position;
+    const firstUnsent = segments.findIndex(({ offset, data }) => offset + data.length > position);
     nextSegment = firstUnsent < 0 ? segments.length : firstUnsent;
   };
 
@@ -155,18 +155,18 @@
         resumeWriter = resolve;
       });
     },
-    finish: (end) => {
-      outcome = end;
+    finish: (result) => {
+      outcome = result;
       void pump();
     },
     credit: (bytes) => {
       acknowledge(acknowledged + bytes);
       void pump();
     },
-    attach: (to, received) => {
+    attach: (target, received) => {
       if (received.bytes > sent) return false;
       if (bytesDropped ? received.bytes < written : received.bytes < acknowledged) return false;
-      link = to;
+      link = target;
       headSent = received.head;
       outcomeSent = false;
       rewind(received.bytes);
--- a/packages/agent/src/core/attempts/attempt-manager.ts
+++ b/packages/agent/src/core/attempts/attempt-manager.ts
@@ -1,4 +1,7 @@
-/** All attempts of this agent: each is started at most once, and its outcome is told truthfully. */
+/**
+ * Manages all attempts of this agent: starts each at most once and reports "not run" only if the
+ * upstream has not been sent the request.
+ */
 
 import type { Clock, Metrics } from '@plantaindrum/common';
 import type { AgentReason, AttemptId, Dispatch, Link, Load } from '@plantaindrum/link';
@@ -14,32 +17,32 @@
 const SWEEP_INTERVAL_MS = 100;
 const REFUSED_RETRY_DELAY_MS = 1_000;
 
-/** Bounds on what the desk keeps. */
+/** Limits of the attempt manager. */
 export interface AttemptLimits extends EndedAttemptLimits {
-  /** Most attempts that run at once. */
+  /** Maximum number of attempts that run at once. */
   concurrency: number;
-  /** How long attempts wait for an entry whose link was lost, in milliseconds. */
+  /** How long attempts wait for their entry to reconnect after a lost link, in milliseconds. */
   graceMs: number;
-  /** Most bytes of request bodies that are held at once. */
+  /** Maximum total size of the request bodies in memory, in bytes. */
   heldBytes: number;
-  /** Most answers that are kept for entries after the upstream has finished them. */
+  /** Maximum number of ended attempts whose answers have not been delivered to their entries. */
   maxUndelivered: number;
 }
 
-/** What the desk needs. */
+/** Options of `createAttemptManager`. */
 export interface AttemptManagerOptions {
   queue: AgentQueue<QueuedAttempt>;
   registry: AttemptLedger;
   run: AttemptRunner;
   load: () => Load;
-  /** Whether new work of this entry is turned away for now. */
+  /** Whether new requests of this entry are currently refused. */
   refusesEntry: (entry: Link) => boolean;
   limits: AttemptLimits;
   clock: Clock;
   metrics: Metrics;
 }
 
-/** Creates a desk without attempts. */
+/** Creates an attempt manager without attempts. */
 export const createAttemptManager = (options: AttemptManagerOptions): AttemptManager => {
   const { queue, registry, load, limits, clock, metrics } = options;
   const attempts = new Map<AttemptId, Attempt>();
@@ -48,7 +51,10 @@
   let heldBytes = 0;
   let closed = false;
   let stopSweep = (): void => {};
-  /** Starts what waits, as far as there is room; set below, as the end of one starts the next. */
+  /**
+   * Starts queued attempts while there is capacity. Assigned below, as it and `runDequeued` call each
+   * other.
+   */
   let startQueued = (): void => {};
 
   const isIdle = (): boolean => {
@@ -74,7 +80,7 @@
     const attempt = createAttempt({
       id,
       link,
-      work: dispatch,
+      dispatch,
       arrivedAt,
       load,
       onDelivered: handleDelivery,
@@ -130,7 +136,7 @@
     notifyWhenIdle();
   };
 
-  // Entries that don't take their answers must not fill this process's memory with them.
+  // Entries that read their answers slowly must not fill the memory of this process.
   const hasCapacity = (): boolean =>
     queue.load().running < limits.concurrency && ended.undelivered() < limits.maxUndelivered;
 
@@ -179,7 +185,7 @@
     if (decision === 'refuse-forgotten') sendUnknown(frame.id, link, 'outcome-forgotten');
   };
 
-  /** Work that runs at most once goes on to its end once started, so that its outcome is known. */
+  /** A started request that may run at most once is not aborted, so that its outcome stays known. */
   const abortUnlessAtMostOnce = (attempt: Attempt): void => {
     const dispatch = attempt.dispatch();
     if (dispatch && runsAtMostOnce(dispatch)) metrics.count('cancels_ignored');
@@ -192,7 +198,7 @@
     } else attempt.abort.abort();
   };
 
-  /** Carries out a cancel; true when the attempt is proved not to run, also when it is unknown. */
+  /** Cancels an attempt; true if it is certain not to run. An unknown id is marked so that it never starts. */
   const cancelById = (id: AttemptId): boolean => {
     const decision = registry.cancel(id);
     const attempt = attempts.get(id);
@@ -231,7 +237,7 @@
       link.send({ t: 'in-progress', id, started: attempt.started() });
     }
     if (attempt.answer.attach(link, received)) return;
-    // The bytes between what the entry holds and what is kept are gone: no whole answer any more.
+    // Bytes between the entry's position and the buffered ones were dropped, so the answer can't be completed.
     sendUnknown(id, link, 'upstream-broke-off');
     cancelById(id);
   };
@@ -246,7 +252,7 @@
     handleDelivery(attempt);
   };
 
-  /** The entry has not come back: nobody waits for the attempt any more. */
+  /** Abandons an attempt whose entry has not reconnected in time. */
   const abandonAttempt = (attempt: Attempt): void => {
     if (attempt.answer.link()) return;
     const wasDelivered = attempt.state() === 'ended' && !ended.abandon(attempt);
--- a/packages/agent/src/core/attempts/attempt.ts
+++ b/packages/agent/src/core/attempts/attempt.ts
@@ -2,10 +2,10 @@
 import type { Answer, AttemptOutcome } from './answer.js';
 import { createAnswer } from './answer.js';
 
-/** Where an attempt stands. */
+/** State of an attempt. */
 export type AttemptState = 'queued' | 'running' | 'ended';
 
-/** One attempt that this agent knows; an attempt that must never start is `ended` from the first. */
+/** One attempt that this agent knows; an attempt that must never start is `ended` from the beginning. */
 export interface Attempt {
   readonly id: AttemptId;
   readonly answer: Answer;
@@ -13,36 +13,36 @@
   /** Monotonic time of the arrival, in milliseconds. */
   readonly arrivedAt: number;
   state(): AttemptState;
-  /** Whether the upstream has been given the attempt. */
+  /** Whether the request has been sent to the upstream. */
   started(): boolean;
-  /** What to run; undefined once the attempt has ended. */
+  /** The dispatch to run; undefined once the attempt has ended. */
   dispatch(): Dispatch | undefined;
   /** Monotonic time of the end, in milliseconds; 0 before. */
   endedAt(): number;
   dequeue(): void;
-  /** The upstream is about to be given the attempt. */
+  /** Marks the attempt as started, right before the request is sent to the upstream. */
   start(): void;
   end(outcome: AttemptOutcome, time: number): void;
-  /** Its entry did not come back: nobody waits for the answer. */
+  /** Marks the attempt as abandoned: its entry did not reconnect, so nobody waits for the answer. */
   abandon(): void;
   abandoned(): boolean;
 }
 
-/** What an attempt starts from. */
+/** Options of `createAttempt`. */
 export interface AttemptOptions {
   id: AttemptId;
-  /** The link and the work of its dispatch; none for an attempt that only has a tombstone. */
+  /** The link that delivered the dispatch; like `dispatch` unset for an attempt that only has a tombstone. */
   link?: Link;
-  work?: Dispatch;
+  dispatch?: Dispatch;
   arrivedAt: number;
   load: () => Load;
   onDelivered: (attempt: Attempt) => void;
 }
 
-/** Creates an attempt that waits in the queue. */
+/** Creates a queued attempt. */
 export const createAttempt = (options: AttemptOptions): Attempt => {
   const { id, link, arrivedAt, load, onDelivered } = options;
-  let { work: dispatch } = options;
+  let { dispatch } = options;
   let state: AttemptState = 'queued';
   let started = false;
   let endedAt = 0;
--- a/packages/agent/src/core/attempts/dispatch.ts
+++ b/packages/agent/src/core/attempts/dispatch.ts
@@ -1,10 +1,10 @@
-/** What follows from an entry's dispatch. */
+/** Derives cost and repeatability of a request from its dispatch. */
 
 import type { Dispatch } from '@plantaindrum/link';
 
-/** Tokens of a completion that names no limit (the default of the OpenAI interface). */
+/** Token limit of a completion that sets none (default of the OpenAI API). */
 const DEFAULT_MAX_TOKENS = 16;
-/** Longer bodies are not parsed again only to learn their limit. */
+/** Larger bodies are not parsed just for their token limit. */
 const MAX_PARSED_BYTES = 65_536;
 
 const maxTokens = (body: Uint8Array): number => {
@@ -20,10 +20,10 @@
   }
 };
 
-/** Expected cost of work at the upstream: tokens to be generated, 1 for a plain call. */
+/** Expected cost at the upstream: tokens to generate for a completion, 1 for any other request. */
 export const expectedCost = (dispatch: Dispatch): number =>
   dispatch.path.endsWith('/completions') ? maxTokens(dispatch.body) : 1;
 
-/** Whether work must not be given to the upstream a second time, whatever becomes of the first. */
+/** Whether the request must not be sent to the upstream twice, whatever the first outcome is. */
 export const runsAtMostOnce = (dispatch: Dispatch): boolean =>
   dispatch.mayNotRepeat || dispatch.idempotency !== undefined;
--- a/packages/agent/src/core/attempts/ended-attempts.ts
+++ b/packages/agent/src/core/attempts/ended-attempts.ts
@@ -1,32 +1,32 @@
-/** What is kept of ended attempts, for entries that ask again after a lost link. */
+/** Ended attempts that are retained for entries that query them after a lost link. */
 
 import type { Clock } from '@plantaindrum/common';
 import type { Attempt } from './attempt.js';
 
-/** Bounds on what is kept. */
+/** Limits on the retained attempts. */
 export interface EndedAttemptLimits {
-  /** How long the outcome of an ended attempt is kept, in milliseconds. */
+  /** How long the outcome of an ended attempt is retained, in milliseconds. */
   retentionMs: number;
-  /** Most ended attempts that are kept. */
+  /** Maximum number of ended attempts that are retained. */
   maxEnded: number;
 }
 
 /** The ended attempts of an agent. */
 export interface EndedAttempts {
   add(attempt: Attempt): void;
-  /** Whether the entry has everything of the attempt; true only at the moment it became so. */
+  /** Marks an attempt that is fully delivered; true only for the call that marks it. */
   markDelivered(attempt: Attempt): boolean;
-  /** The entry is gone: nobody waits for what is left of the answer. */
+  /** Gives up the delivery to an entry that did not reconnect; true if it was incomplete. */
   abandon(attempt: Attempt): boolean;
-  /** Ended attempts whose bytes or outcome the entry doesn't have yet. */
+  /** Number of ended attempts whose bytes or outcome the entry has not received yet. */
   undelivered(): number;
-  /** Drops what is too old or too much; `drop` is told of each. */
+  /** Drops attempts that exceed the limits, oldest first; calls `onExpired` for each. */
   expire(onExpired: (attempt: Attempt) => void): void;
 }
 
 /** Creates an empty set. */
 export const createEndedAttempts = (clock: Clock, limits: EndedAttemptLimits): EndedAttempts => {
-  /** In the order of their ends. */
+  /** Ordered by end time. */
   const endedAttempts = new Set<Attempt>();
   const undelivered = new Set<Attempt>();
 
--- a/packages/agent/src/core/attempts/run-attempt.ts
+++ b/packages/agent/src/core/attempts/run-attempt.ts
@@ -8,21 +8,21 @@
 
 const UNREACHABLE_RETRY_DELAY_MS = 1_000;
 
-/** Sees an answer as it passes. */
+/** Observes an answer while it is forwarded. */
 export interface AnswerObserver {
   head(status: number, headers: Record<string, string>): void;
   data(bytes: Uint8Array): void;
 }
 
-/** What running an attempt needs. */
+/** Options of `runAttempt`. */
 export interface RunAttemptOptions {
   upstream: Upstream;
-  /** The body as this upstream takes it. */
+  /** Encodes the request body for this kind of upstream. */
   encodeBody: (dispatch: Dispatch) => Uint8Array;
-  /** Statuses by which this upstream refuses what it can't serve now. */
+  /** Statuses that mean that this upstream can't serve requests now. */
   refusalStatuses: readonly number[];
   metrics: Metrics;
-  /** Told of the first byte of an answer. */
+  /** Called on the first byte of an answer. */
   onFirstByte: (id: AttemptId) => void;
   observe?: AnswerObserver;
 }
@@ -37,19 +37,12 @@
   return { outcome: 'not-run', reason: 'upstream-unreachable', retryAfterMs };
 };
 
-/** Hands an attempt to the upstream and passes its answer on as it comes. */
+/** Sends an attempt to the upstream and streams the answer back. */
 export const runAttempt = async (
   attempt: Attempt,
   dispatch: Dispatch,
   tryStart: () => boolean,
-  {
-    upstream,
-    encodeBody,
-    refusalStatuses,
-    metrics,
-    onFirstByte,
-    observe,
-  }: RunAttemptOptions,
+  { upstream, encodeBody, refusalStatuses, metrics, onFirstByte, observe }: RunAttemptOptions,
 ): Promise<AttemptOutcome> => {
   if (!tryStart()) return { outcome: 'not-run', reason: 'cancelled', retryAfterMs: 0 };
   const { answer, abort } = attempt;
@@ -84,7 +77,7 @@
     },
     abort.signal,
   );
-  // Such a status does not prove that nothing ran, so another attempt is the entry's to decide.
+  // Such a status does not prove that nothing ran, so the entry decides whether to retry.
   if (refused) return { outcome: 'unknown', reason: 'upstream-refused' };
   return toAttemptOutcome(result, abort.signal.aborted);
 };
--- a/packages/agent/src/core/attempts/run-keyed.ts
+++ b/packages/agent/src/core/attempts/run-keyed.ts
@@ -1,4 +1,4 @@
-/** Runs calls that carry an idempotency key, each at most once over all agents. */
+/** Runs requests with an idempotency key, each at most once over all agents. */
 
 import { createHash } from 'node:crypto';
 import type { Clock } from '@plantaindrum/common';
@@ -9,15 +9,15 @@
 import type { Attempt } from './attempt.js';
 import type { AnswerObserver } from './run-attempt.js';
 
-/** Least time that a claim is given, in milliseconds. */
+/** Minimum time budget of a claim, in milliseconds. */
 const MIN_CLAIM_BUDGET_MS = 100;
-/** Tells the caller that the call ran earlier and this is the answer it had. */
+/** Marks an answer that is replayed from an earlier request with the same key. */
 const REPLAY_HEADERS = { 'x-plantaindrum-replayed': 'true' };
 
-/** What running keyed calls needs. */
+/** Options of `createKeyedRunner`. */
 export interface KeyedRunnerOptions {
   claims: Claims;
-  /** Runs the call at the upstream. */
+  /** Runs the request at the upstream. */
   run: (
     attempt: Attempt,
     dispatch: Dispatch,
@@ -27,7 +27,7 @@
   clock: Clock;
 }
 
-/** The same body at another path is another call, whose answer must not be given for this one. */
+/** Method and path are part of the hash: the same body at another path is a different request. */
 const hashCall = ({ method, path }: Dispatch, bodyHash: string): string =>
   createHash('sha256').update(`${method}\n${path}\n${bodyHash}`).digest('hex');
 
@@ -38,13 +38,13 @@
 });
 
 /**
- * A repeat whose key's call runs, has run or may have run. Told "not run", the caller would send the
- * call again under another key, and it would run twice: so the outcome is unknown.
+ * Outcome of a repeat while the first request with its key is running, has run or may have run. After
+ * "not run" the caller could send the request under another key, and it would run twice.
  */
 const unknownOutcome = (reason: AgentReason, tryStart: () => boolean): AttemptOutcome =>
   tryStart() ? { outcome: 'unknown', reason } : notRun('cancelled', 0);
 
-/** Why a call without the right to run did not run. */
+/** Outcome of a request whose claim was refused. */
 const refusalOutcome = (
   verdict: Exclude<ClaimVerdict, { verdict: 'first' | 'known' | 'held' }>,
   tryStart: () => boolean,
@@ -61,7 +61,7 @@
   }
 };
 
-/** Gives the answer of the earlier call with the same key, if it is still held. */
+/** Sends the answer of the earlier request with the same key, if its body was stored. */
 const replay = (attempt: Attempt, known: ClaimOutcome, tryStart: () => boolean): AttemptOutcome => {
   if (known.body === undefined) return unknownOutcome('duplicate-known', tryStart);
   if (!tryStart()) return notRun('cancelled', 0);
@@ -79,16 +79,16 @@
   { outcome }: AttemptOutcome,
   answer: ClaimOutcome,
 ): Promise<void> => {
-  // Waited for: a caller that has its whole answer may come again at once, elsewhere. Until the log has the outcome
-  // the repeat is told "unknown"; the end of the answer follows the record, some ms later.
+  // The answer ends only after the log has its outcome, which takes a few ms: a caller may repeat the request elsewhere
+  // as soon as it has the full answer, and until the log has the outcome the repeat ends as "unknown".
   if (outcome === 'answered') await claims.finish(claim, answer);
-  // Waited for: the entry may try another upstream, whose claim would find the key still held.
+  // Awaited as well: the entry may try another upstream, whose claim would find the key still held.
   else if (outcome === 'not-run') await claims.release(claim);
-  // Nobody can tell whether the call ran: the key stays taken, so that it never runs again.
+  // It is unknown whether the request ran: the key stays claimed, so that it never runs again.
   else claims.abandon(claim);
 };
 
-/** Creates the runner; it takes the claim when the call's turn has come, not while it waits. */
+/** Creates the runner; it claims the key when the request leaves the queue, not while it waits. */
 export const createKeyedRunner = (options: KeyedRunnerOptions) => {
   const { claims, clock } = options;
 
--- a/packages/agent/src/core/attempts/serving.ts
+++ b/packages/agent/src/core/attempts/serving.ts
@@ -1,4 +1,4 @@
-/** The serving side of an agent: its queue, its upstream, the claims on keys, and the attempts. */
+/** The request path of an agent: its queue, its upstream, the claims on keys, and the attempts. */
 
 import type { AgentSettings, Clock, Metrics, Random } from '@plantaindrum/common';
 import type { Dispatch, Link, Load } from '@plantaindrum/link';
@@ -14,7 +14,7 @@
 import { createKeyedRunner } from './run-keyed.js';
 import type { AttemptManager, AttemptRunner, QueuedAttempt } from './types.js';
 
-/** Longest wait for the ends of keyed calls to reach the log when the agent stops. */
+/** Maximum wait for the outcomes of keyed requests to reach the log when the agent stops. */
 const CLAIMS_FLUSH_TIMEOUT_MS = 3_000;
 const MAX_UNDELIVERED_PER_SLOT = 8;
 
@@ -25,12 +25,12 @@
   heldBytes: 67_108_864,
 };
 
-/** What serving needs. */
+/** Options of `createServing`. */
 export interface ServingOptions {
   settings: AgentSettings;
   instance: string;
   platformLog: Log;
-  /** Whether new work of this entry is turned away for now. */
+  /** Whether new requests of this entry are currently refused. */
   refusesEntry: (entry: Link) => boolean;
   attemptLimits?: Partial<AttemptLimits>;
   clock: Clock;
@@ -38,16 +38,19 @@
   metrics: Metrics;
 }
 
-/** The serving side of an agent. */
+/** The request path of an agent. */
 export interface Serving {
   attemptManager: AttemptManager;
   load(): Load;
-  /** Refuses new work, hands back what hasn't started, and waits for the rest to end. */
+  /** Refuses new requests, returns queued ones as "not run", and waits for the rest to end. */
   drain(): Promise<void>;
   close(): Promise<void>;
 }
 
-/** An engine says so when it is full or not up; a plain service's statuses are its own answers. */
+/**
+ * Statuses of an engine that is full or not ready. A plain service's statuses are forwarded as its
+ * answers.
+ */
 const ENGINE_REFUSAL_STATUSES = [429, 503];
 
 const createRunner = (
@@ -77,17 +80,9 @@
       : runAttempt(attempt, dispatch, tryStart, runOptions);
 };
 
-/** Creates the serving side of an agent. */
+/** Creates the request path of an agent. */
 export const createServing = (options: ServingOptions): Serving => {
-  const {
-    settings,
-    instance,
-    platformLog,
-    refusesEntry,
-    clock,
-    random,
-    metrics,
-  } = options;
+  const { settings, instance, platformLog, refusesEntry, clock, random, metrics } = options;
   const { queue: capacity, concurrency } = settings.limits;
   const upstream = createUpstream(settings.upstream.url);
   const queue = createAgentQueue<QueuedAttempt>({ clock, random, capacity, concurrency });
--- a/packages/agent/src/core/entries.ts
+++ b/packages/agent/src/core/entries.ts
@@ -1,20 +1,20 @@
-/** The links of entries: at most one for each entry instance, and its frames to the attempts. */
+/** Links of entries: keeps at most one per entry instance and routes its frames to the attempts. */
 
 import type { Logger, Metrics } from '@plantaindrum/common';
 import type { FrameHandler, Link, PeerFrame } from '@plantaindrum/link';
 import { parseAttemptId } from '@plantaindrum/requests';
 import type { AttemptManager } from './attempts/types.js';
 
-/** The entries that are linked to this agent. */
+/** The entries that are connected to this agent. */
 export interface Entries {
-  /** Takes each new link of an entry; the result takes its frames. */
+  /** Registers a new link of an entry; returns the handler of its frames. */
   onLink(link: Link): FrameHandler;
-  /** Tells every entry that this agent takes no new work from now on. */
+  /** Tells every entry that this agent accepts no new requests any more. */
   announceLeaving(): void;
   count(): number;
 }
 
-/** What the entries' links need. */
+/** Options of `createEntries`. */
 export interface EntriesOptions {
   attemptManager: AttemptManager;
   isLeaving: () => boolean;
@@ -22,12 +22,12 @@
   log: Logger;
 }
 
-/** Creates an empty set of entries. */
+/** Creates an empty registry of entries. */
 export const createEntries = (options: EntriesOptions): Entries => {
   const { attemptManager, metrics, log } = options;
   const links = new Map<string, Link>();
 
-  /** An id of another entry's instance can only be a fault: its answer would go astray. */
+  /** An attempt id of another entry instance is a fault: the answer would go to the wrong entry. */
   const namesForeignAttempt = (frame: PeerFrame, link: Link): boolean =>
     'id' in frame && parseAttemptId(frame.id).instance !== link.peer.instance;
 
@@ -59,17 +59,17 @@
 
   const handleLinkClosed = (link: Link, reason: string): void => {
     if (links.get(link.peer.instance) === link) links.delete(link.peer.instance);
-    log.info(`entry ${link.peer.node} is gone: ${reason}`);
+    log.info(`link of entry ${link.peer.node} closed: ${reason}`);
     attemptManager.linkLost(link);
   };
 
   return {
     onLink: (link) => {
       const { instance, node } = link.peer;
-      // A dispatch that waits on the older link would come after the query on the newer one.
+      // Closes the older link first: a dispatch pending on it would arrive after a query on the new one.
       links.get(instance)?.close();
       links.set(instance, link);
-      log.info(`entry ${node} is linked`);
+      log.info(`entry ${node} connected`);
       void link.closed.then((reason) => handleLinkClosed(link, reason));
       if (options.isLeaving()) link.send({ t: 'leaving' });
       return (frame) => handleFrame(frame, link);
--- a/packages/agent/src/core/group/engine-port.ts
+++ b/packages/agent/src/core/group/engine-port.ts
@@ -1,7 +1,7 @@
 import type { EnginePort, EngineState, OrderOutcome } from '@plantaindrum/experts';
 import type { EngineOrderClient, PlatformFailure } from '@plantaindrum/service-clients';
 
-/** Only an answer of the engine proves that an order has no effect; any other failure may. */
+/** Only an answer of the engine proves that an order had no effect; after any other failure it may have had one. */
 const failedOrderOutcome = (failure: PlatformFailure): OrderOutcome =>
   failure.kind === 'rejected'
     ? { outcome: 'refused', reason: failure.detail }
@@ -12,7 +12,7 @@
   return Array.isArray(state?.ranks) && typeof state.fence === 'number';
 };
 
-/** The engine beside this agent, as the group member sees it. */
+/** Adapts the client of the engine beside this agent to the interface of the group member. */
 export const createEnginePort = (client: EngineOrderClient): EnginePort => ({
   order: async (name, body) => {
     const sent = await client.order(name, body as { fence: number } & Record<string, unknown>);
--- a/packages/agent/src/core/group/group.ts
+++ b/packages/agent/src/core/group/group.ts
@@ -1,4 +1,4 @@
-/** This agent's part in its expert group: a member, and a coordinator that stands by. */
+/** Takes part in the agent's expert group, as a member and as a standby coordinator. */
 
 import type { AgentSettings, Clock, Logger, Metrics, Random } from '@plantaindrum/common';
 import type { ExpertMethod, GroupTimings, Weighs } from '@plantaindrum/experts';
@@ -9,18 +9,18 @@
 import { createEnginePort } from './engine-port.js';
 import { createGroupPeers } from './peers.js';
 
-/** What an agent needs to take part in its group. */
+/** Options of `createExpertGroup`. */
 export interface ExpertGroupOptions {
   node: AgentSettings['node'];
   instance: string;
   upstream: AgentSettings['upstream'];
   vmList: VmListClient;
   platformLog: Log;
-  /** Starts to keep another agent linked. */
+  /** Connects to another agent and reconnects when the link is lost. */
   connect: (address: { host: string; port: number }) => LinkClient;
-  /** The operator's word, declared by group or by model; undefined when there is none. */
+  /** What operators declared that balancing weighs, by group or by model; undefined if nothing is declared. */
   weighs: (name: string) => Weighs | undefined;
-  /** False while live traffic needs the VM. */
+  /** Whether experts may be moved; false while live traffic needs the VM. */
   mayMove: () => boolean;
   timings?: Partial<GroupTimings>;
   clock: Clock;
@@ -29,25 +29,25 @@
   log: Logger;
 }
 
-/** The agent's part in its group. */
+/** Membership of the agent in its expert group. */
 export interface ExpertGroup {
-  /** Link calls of the group, by method. */
+  /** Handlers of the group's link calls, by method. */
   handlers: Record<string, CallHandler>;
   /** Starts the tasks of member and coordinator. */
   run(): void;
-  /** Takes each link with another agent. */
+  /** Registers a link with another agent. */
   onLink(link: Link): void;
   status(): unknown;
   close(): Promise<void>;
 }
 
-/** Creates the agent's part; undefined for an upstream without a group. */
+/** Creates the membership; undefined for an upstream without a group or without a layout. */
 export const createExpertGroup = (options: ExpertGroupOptions): ExpertGroup | undefined => {
   const { node, instance, upstream, clock, random, metrics, log } = options;
   const { group, ranks, layout } = upstream;
   if (group === undefined) return undefined;
   if (layout === undefined) {
-    log.warn(`group ${group}: no layout in the settings, so its maps are left alone`);
+    log.warn(`group ${group}: no layout in the settings, so its expert maps are not managed`);
     return undefined;
   }
 
--- a/packages/agent/src/core/group/peers.ts
+++ b/packages/agent/src/core/group/peers.ts
@@ -1,4 +1,4 @@
-/** The other agents of an expert group: found in the VM list, and kept linked. */
+/** Finds the other agents of an expert group in the VM list and keeps links with them. */
 
 import type { Clock, Metrics, Random, Result } from '@plantaindrum/common';
 import { createPause } from '@plantaindrum/common';
@@ -6,16 +6,18 @@
 import type { Link, LinkClient } from '@plantaindrum/link';
 import type { PlatformFailure, Vm } from '@plantaindrum/service-clients';
 
+/** Interval of list reads while a rank has no reachable agent. */
 const SEARCH_INTERVAL_MS = 1_000;
+/** Interval of list reads otherwise. */
 const REFRESH_INTERVAL_MS = 30_000;
 
-/** What keeping the peers linked needs. */
+/** Options of `createGroupPeers`. */
 export interface GroupPeersOptions {
   group: string;
   self: GroupPeer;
   rankCount: number;
   list: () => Promise<Result<Vm[], PlatformFailure>>;
-  /** Starts to keep an agent linked; its links come back through `onLink`. */
+  /** Connects to an agent and reconnects when the link is lost; each link is passed to `onLink`. */
   connect: (address: { host: string; port: number }) => LinkClient;
   clock: Clock;
   random: Random;
@@ -24,12 +26,12 @@
 
 /** The peers of a group. */
 export interface GroupPeers {
-  /** The group's agents as the list last showed them, this one included. */
+  /** The agents of the group in the latest VM list, including this one. */
   members(): readonly GroupPeer[];
-  /** The model that the group serves, once the list has shown this agent's VM. */
+  /** The model that the group serves; undefined until the list has shown this agent's VM. */
   model(): string | undefined;
   call: PeerCall;
-  /** Takes each link with another agent, from whichever side it came. */
+  /** Registers a link with another agent, opened by either side. */
   onLink(link: Link): void;
   close(): Promise<void>;
 }
@@ -44,7 +46,7 @@
   return { host: address.slice(0, separator), port: Number(address.slice(separator + 1)) };
 };
 
-/** Starts to look for the peers of a group. */
+/** Starts to search for the peers of a group. */
 export const createGroupPeers = (options: GroupPeersOptions): GroupPeers => {
   const { group, self, rankCount, clock, random, metrics } = options;
   const pause = createPause(clock);
@@ -64,7 +66,7 @@
     return new Set(reachable.flatMap(({ ranks }) => ranks)).size >= rankCount;
   };
 
-  /** Of each pair the node whose name comes first dials, so that there is one link and not two. */
+  /** In each pair only the node whose name sorts first dials, so that there is one link, not two. */
   const shouldDial = ({ name }: Vm): boolean => self.node < name;
 
   const dial = ({ name, address }: Vm): void => {
@@ -96,7 +98,7 @@
     dropUnlisted();
   };
 
-  // The list is long in a large fleet, so it is only read often while a peer is missing.
+  // The list is long in a large fleet, so it is read often only while a rank has no reachable agent.
   const refreshLoop = async (): Promise<void> => {
     while (!closed) {
       await refresh();
--- a/packages/agent/src/core/links.ts
+++ b/packages/agent/src/core/links.ts
@@ -1,4 +1,4 @@
-/** This agent's links: from entries, and with the other agents of its expert group. */
+/** Links of an agent: from entries, and with the other agents of its expert group. */
 
 import type { AgentSettings, Clock, Logger, Metrics, Random } from '@plantaindrum/common';
 import type { IntentLinks } from '@plantaindrum/intent';
@@ -19,13 +19,13 @@
   defaultLinkLimits,
 } from '@plantaindrum/link';
 
-/** What links need. */
+/** Options of `createAgentLinks`. */
 export interface AgentLinksOptions {
   settings: AgentSettings;
   instance: string;
   intent: IntentLinks;
   load: () => Load;
-  /** Takes each link of an entry; the result takes its frames. */
+  /** Called with each link of an entry; returns the handler of its frames. */
   onEntry: (link: Link) => FrameHandler;
   limits?: Partial<LinkLimits>;
   clock: Clock;
@@ -36,19 +36,19 @@
 
 /** The links of an agent. */
 export interface AgentLinks {
-  /** Serves further methods that peers may call. */
+  /** Adds handlers of methods that peers may call. */
   addHandlers(handlers: Record<string, CallHandler>): void;
-  /** Tells of each link with another agent. */
+  /** Sets the handler of links with other agents. */
   onAgentLink(fn: (link: Link) => void): void;
-  /** Starts to keep another agent linked. */
+  /** Connects to another agent and reconnects when the link is lost. */
   connect(address: { host: string; port: number }): LinkClient;
-  /** Starts to accept links; rejects when the address can't be listened on. */
+  /** Starts to accept links; rejects if it can't listen on the address. */
   listen(): Promise<LinkServer>;
 }
 
 const ignoreFrames: FrameHandler = () => {};
 
-/** Creates the links of an agent, none open yet. */
+/** Creates the links of an agent without opening any. */
 export const createAgentLinks = (options: AgentLinksOptions): AgentLinks => {
   const { settings, instance, intent, clock, random, metrics, log } = options;
   const { name, dataCentre, region } = settings.node;
--- a/packages/agent/src/core/operators/operator-server.ts
+++ b/packages/agent/src/core/operators/operator-server.ts
@@ -1,24 +1,24 @@
-/** The operators' door of an agent, by HTTP: readiness, metrics, status and the intent in force. */
+/** HTTP server of an agent for operators: readiness, metrics, status and the intent in force. */
 
 import { createHash, timingSafeEqual } from 'node:crypto';
 import { createServer } from 'node:http';
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 
-/** What the door shows. */
+/** Options of `createOperatorServer`. */
 export interface OperatorServerOptions {
   listen: { host: string; port: number };
   token: string;
-  /** Most open connections. */
+  /** Maximum number of open connections. */
   connections: number;
   ready: () => boolean;
-  /** The Prometheus text. */
+  /** Metrics in the Prometheus text format. */
   metrics: () => string;
   status: () => unknown;
   intent: () => unknown;
 }
 
-/** An open door. */
+/** A listening operator server. */
 export interface OperatorServer {
   readonly url: string;
   close(): Promise<void>;
@@ -41,7 +41,7 @@
   res.end(text);
 };
 
-/** Opens the door; rejects when the address can't be listened on. */
+/** Starts the operator server; rejects if it can't listen on the address. */
 export const createOperatorServer = async (
   options: OperatorServerOptions,
 ): Promise<OperatorServer> => {
--- a/packages/agent/src/core/status.ts
+++ b/packages/agent/src/core/status.ts
@@ -1,4 +1,4 @@
-/** What this agent tells operators. */
+/** Status of an agent, for operators. */
 
 import type { AgentSettings } from '@plantaindrum/common';
 import type { IntentFreshness, IntentReader, NodeDuty } from '@plantaindrum/intent';
@@ -10,21 +10,21 @@
 export interface AgentStatus {
   node: AgentSettings['node'] & { role: 'agent'; instance: string };
   ready: boolean;
-  /** What the state of its data centre asks of it. */
+  /** What the state of its data centre requires of this agent. */
   duty: NodeDuty;
   upstream: AgentSettings['upstream'];
   /** Requests that are queued or running. */
   inFlight: number;
   load: Load;
   attempts: ReturnType<AttemptManager['counts']>;
-  /** Entries that are linked. */
+  /** Number of connected entries. */
   entries: number;
   intent: { offset: number; freshness: IntentFreshness };
-  /** Its part in its expert group. */
+  /** Status of its membership in its expert group. */
   group?: unknown;
 }
 
-/** What a status is made from. */
+/** Options of `agentStatus`. */
 export interface AgentStatusOptions {
   settings: AgentSettings;
   instance: string;
@@ -36,7 +36,7 @@
   group: () => unknown;
 }
 
-/** Makes the document of `GET /status`. */
+/** Builds the document of `GET /status`. */
 export const agentStatus = (options: AgentStatusOptions): AgentStatus => {
   const { settings, instance, attemptManager, intent } = options;
   const attempts = attemptManager.counts();
--- a/packages/agent/src/core/upstream/engine-body.ts
+++ b/packages/agent/src/core/upstream/engine-body.ts
@@ -1,7 +1,7 @@
 import { isObject } from '@plantaindrum/common';
 import type { Dispatch } from '@plantaindrum/link';
 
-/** Priorities as vLLM documents them: lower goes first. */
+/** Request priorities of vLLM: a lower value is scheduled first. */
 const ENGINE_PRIORITY: Record<Dispatch['priority'], number> = { live: 0, normal: 1, background: 2 };
 
 const parse = (body: Uint8Array): unknown => {
@@ -15,9 +15,9 @@
 const COMPLETIONS_PATH = '/v1/completions';
 
 /**
- * A completion's body with the priority of its class. What the caller wrote there is replaced: it
- * would let one organisation go before all others. A body that is no JSON object is the engine's to
- * refuse.
+ * Sets the priority of its class in the body of a completion. A priority of the caller is overwritten:
+ * it would let one organisation overtake all others. A body that is not a JSON object is left for the
+ * engine to refuse.
  */
 export const engineBody = ({ path, body, priority }: Dispatch): Uint8Array => {
   const document = path === COMPLETIONS_PATH ? parse(body) : undefined;
--- a/packages/agent/src/core/upstream/headers.ts
+++ b/packages/agent/src/core/upstream/headers.ts
@@ -3,7 +3,7 @@
 const namedByConnection = (connection: string | undefined): Set<string> =>
   new Set((connection ?? '').split(',').map((name) => name.trim().toLowerCase()));
 
-/** The header of a request to the upstream. */
+/** Header fields of a request to the upstream. */
 export const upstreamHeaders = (
   headers: Record<string, string>,
   resumeAfter: string | undefined,
@@ -17,7 +17,7 @@
   return resumeAfter === undefined ? forwarded : { ...forwarded, 'last-event-id': resumeAfter };
 };
 
-/** The header of an upstream's answer as it travels to the entry. */
+/** Header fields of an upstream's answer that are sent to the entry. */
 export const answerHeaders = (
   headers: Record<string, string | string[] | undefined>,
 ): Record<string, string> => {
--- a/packages/agent/src/core/upstream/upstream.ts
+++ b/packages/agent/src/core/upstream/upstream.ts
@@ -1,4 +1,4 @@
-/** Calls to the engine or service beside this agent, by HTTP. */
+/** HTTP client of the engine or service beside this agent. */
 
 import { Pool } from 'undici';
 import type { Dispatcher } from 'undici';
@@ -10,20 +10,20 @@
   path: string;
   headers: Record<string, string>;
   body: Uint8Array;
-  /** Takes a connection of its own, see `createUpstream`. */
+  /** Uses a connection of its own, see `createUpstream`. */
   runsAtMostOnce: boolean;
 }
 
-/** Takes the upstream's answer as it arrives. */
+/** Receives the upstream's answer as it arrives. */
 export interface ResponseSink {
   /** Called right before the first byte is written to the upstream. */
   sent(): void;
   head(status: number, headers: Record<string, string>): void;
-  /** Takes bytes; a promise holds the upstream back until it resolves. */
+  /** Receives bytes; a returned promise pauses reading from the upstream until it resolves. */
   data(bytes: Uint8Array): Promise<void> | undefined;
 }
 
-/** How a call ended: `not-sent` means that not one byte was written to the upstream. */
+/** How a call ended: `not-sent` means that no byte was written to the upstream. */
 export type UpstreamOutcome =
   | { outcome: 'whole' }
   | { outcome: 'not-sent'; detail: string }
@@ -90,8 +90,8 @@
 /**
  * Creates the client of the upstream at `url`.
  *
- * A call that runs at most once gets a fresh connection: on a kept one, a close by the upstream
- * can cross the request, and nobody could tell whether it ran.
+ * A call that runs at most once gets a new connection. The upstream may close a kept-alive connection
+ * just as the request is sent, and then it is unknown whether the request ran.
  */
 export const createUpstream = (url: string): Upstream => {
   const keepAlivePool = new Pool(url, { pipelining: 1 });
--- a/packages/agent/test/agent.test.ts
+++ b/packages/agent/test/agent.test.ts
@@ -8,32 +8,32 @@
 
 describe('agent', () => {
   let upstream: FakeUpstream;
-  const opened: { close(): Promise<void> }[] = [];
+  const resources: { close(): Promise<void> }[] = [];
 
   beforeEach(async () => {
     upstream = await createFakeUpstream();
   });
 
   afterEach(async () => {
-    await Promise.all(opened.splice(0).map((one) => one.close()));
+    await Promise.all(resources.splice(0).map((resource) => resource.close()));
     await upstream.close();
   });
 
   const start = async (limits: Record<string, number> = {}) => {
     const agent = await startTestAgent(upstream.url, limits);
-    opened.push({ close: agent.stop });
+    resources.push({ close: agent.stop });
     return agent;
   };
 
-  const enter = (address: string, grantsCredit = true): FakeEntry => {
+  const connectEntry = (address: string, grantsCredit = true): FakeEntry => {
     const entry = createFakeEntry(address, 'e', grantsCredit);
-    opened.push(entry);
+    resources.push(entry);
     return entry;
   };
 
   it('carries a streamed answer from the upstream to the entry', async () => {
     const agent = await start();
-    const entry = enter(agent.link);
+    const entry = connectEntry(agent.link);
     const link = await entry.nextLink();
     link.send(dispatchOf('e:1', { resumeAfter: '4' }));
     const { req, res, body } = await upstream.next();
@@ -51,12 +51,13 @@
     expect(readable([...first, ...(await entry.until('end'))])).toMatchSnapshot();
   });
 
-  // An engine is up and answers 503 to every completion. Passed on, callers would get it as their
-  // answer, with neither a word on whether it ran nor a Retry-After, though other engines serve; and
-  // so quick an end would draw ever more requests. The entry learns that it was refused instead.
-  it('does not pass off the refusal of an engine as an answer', async () => {
+  // An engine that answers 503 to every completion. Forwarded as the answer, the 503 would neither
+  // tell the caller whether the request ran nor carry a Retry-After, though other engines can serve
+  // it; and an engine that ends requests so quickly would attract more of them. The entry gets the
+  // outcome "upstream-refused" instead.
+  it('reports a refusal of the engine as an outcome, not as an answer', async () => {
     const agent = await start();
-    const entry = enter(agent.link);
+    const entry = connectEntry(agent.link);
     const link = await entry.nextLink();
     link.send(dispatchOf('e:1'));
     const { res } = await upstream.next();
@@ -68,9 +69,9 @@
     ]);
   });
 
-  it('hands the upstream no more than its concurrency, in order', async () => {
+  it('sends the upstream at most `concurrency` requests at once, in order', async () => {
     const agent = await start({ concurrency: 1 });
-    const entry = enter(agent.link);
+    const entry = connectEntry(agent.link);
     const link = await entry.nextLink();
     link.send(dispatchOf('e:1', { body: Buffer.from('a') }));
     link.send(dispatchOf('e:2', { body: Buffer.from('b') }));
@@ -84,11 +85,11 @@
     expect(textOf(await entry.until('end'))).to.equal('B');
   });
 
-  // The entry gives an attempt up, and its cancel reaches the agent before its dispatch does, as
-  // they travel on different links. The late dispatch must not start: the caller was told "not run".
+  // A cancel or query overtakes the dispatch of its attempt, as they are sent on different links. The
+  // late dispatch must not start: the caller has already got "not run".
   it('never starts an attempt that was cancelled or queried before it arrived', async () => {
     const agent = await start();
-    const entry = enter(agent.link);
+    const entry = connectEntry(agent.link);
     const link = await entry.nextLink();
     link.send({ t: 'cancel', id: 'e:1' });
     link.send(dispatchOf('e:1'));
@@ -104,39 +105,39 @@
     expect(agent.metrics.counter('dispatch_refused', { reason: 'refuse-tombstone' })).to.equal(2);
   });
 
-  // The caller goes away while its request waits or streams. Work nobody waits for must not keep
-  // the upstream busy: it leaves the queue, and the upstream's connection is closed.
-  it('cancels in the queue and at the upstream', async () => {
+  // The caller disconnects while its request is queued or streaming. Such a request must not occupy
+  // the upstream: it is removed from the queue, or its connection to the upstream is closed.
+  it('cancels queued and running attempts', async () => {
     const agent = await start({ concurrency: 1 });
-    const entry = enter(agent.link);
+    const entry = connectEntry(agent.link);
     const link = await entry.nextLink();
     link.send(dispatchOf('e:1'));
     link.send(dispatchOf('e:2'));
     const { res } = await upstream.next();
-    const cut = once(res, 'close');
+    const upstreamClosed = once(res, 'close');
     link.send({ t: 'cancel', id: 'e:2' });
     expect(readable(await entry.until('not-run')).at(-1)).to.include({ reason: 'cancelled' });
     link.send({ t: 'cancel', id: 'e:1' });
-    await cut;
+    await upstreamClosed;
     expect(readable(await entry.until('unknown')).at(-1)).to.include({ reason: 'cancelled' });
     expect(upstream.requests()).to.equal(1);
   });
 
-  it('says "not run" when the upstream refuses the connection', async () => {
+  it('reports "not run" when the upstream refuses the connection', async () => {
     const agent = await start();
     await upstream.close();
-    const entry = enter(agent.link);
+    const entry = connectEntry(agent.link);
     (await entry.nextLink()).send(dispatchOf('e:1'));
     expect(readable(await entry.until('not-run'))).to.deep.equal([
       { t: 'not-run', id: 'e:1', reason: 'upstream-unreachable', retryAfterMs: 1000 },
     ]);
   });
 
-  // The upstream dies after it has been given the request, before or in the middle of its answer.
-  // It may have run, so the outcome is unknown, and what was sent never looks like a whole answer.
-  it('says "unknown" when the upstream breaks off', async () => {
+  // The upstream closes the connection after it received the request, before or during its answer.
+  // The request may have run, so the outcome is unknown, and the partial answer never looks complete.
+  it('reports "unknown" when the upstream closes the connection early', async () => {
     const agent = await start();
-    const entry = enter(agent.link);
+    const entry = connectEntry(agent.link);
     const link = await entry.nextLink();
     link.send(dispatchOf('e:1'));
     (await upstream.next()).req.socket.destroy();
@@ -152,11 +153,11 @@
     expect((await entry.until('unknown')).map((frame) => frame.t)).to.not.include('end');
   });
 
-  // The cable between entry and agent is pulled in mid answer. The entry comes back as the same
-  // instance, says what it holds, and gets the rest: the caller's answer is whole.
-  it('goes on with an answer over the next link of the same entry', async () => {
+  // The link between entry and agent is lost during an answer. The same entry instance reconnects,
+  // reports what it has received, and gets the rest, so that the caller's answer is complete.
+  it('resumes an answer over the next link of the same entry', async () => {
     const agent = await start();
-    const entry = enter(agent.link, false);
+    const entry = connectEntry(agent.link, false);
     const link = await entry.nextLink();
     link.send(dispatchOf('e:1'));
     const { res } = await upstream.next();
@@ -173,9 +174,9 @@
     second.send({ t: 'credit', id: 'e:1', bytes: 5 });
   });
 
-  it('hands queued work back, finishes what runs and says so when it stops', async () => {
+  it('refuses queued and new requests and finishes running ones when it stops', async () => {
     const agent = await startTestAgent(upstream.url, { concurrency: 1 });
-    const entry = enter(agent.link);
+    const entry = connectEntry(agent.link);
     const link = await entry.nextLink();
     link.send(dispatchOf('e:1'));
     const { res } = await upstream.next();
@@ -191,11 +192,11 @@
     await stopped;
   });
 
-  // A caller writes a priority of its own into the body, to go before everybody else's work. The
-  // engine must see the priority of the request's class and nothing else.
-  it('tells the engine the priority of the class', async () => {
+  // A caller sets a priority in the body to overtake all other requests. The engine must get the
+  // priority of the request's class.
+  it('replaces the priority in the body by that of the class', async () => {
     const agent = await start();
-    const entry = enter(agent.link);
+    const entry = connectEntry(agent.link);
     const link = await entry.nextLink();
     const body = Buffer.from('{"prompt":"hello","priority":-9}');
     link.send(dispatchOf('e:1', { priority: 'background', body }));
@@ -205,16 +206,16 @@
     await entry.until('end');
   });
 
-  // Many requests with large bodies wait at once. Each fits the limits, and all together would fill
-  // the memory of this small process; the one too many is refused, not run.
-  it('bounds the bodies that it holds', async () => {
+  // Many queued requests with large bodies, each within the limits, could together fill the memory of
+  // the agent. A request that exceeds the total is refused and not run.
+  it('limits the total size of the request bodies in memory', async () => {
     const agent = await startTestAgent(
       upstream.url,
       { concurrency: 1 },
       { attemptLimits: { heldBytes: 25 } },
     );
-    opened.push({ close: agent.stop });
-    const entry = enter(agent.link);
+    resources.push({ close: agent.stop });
+    const entry = connectEntry(agent.link);
     const link = await entry.nextLink();
     link.send(dispatchOf('e:1', { body: Buffer.alloc(20) }));
     const { res } = await upstream.next();
--- a/packages/agent/test/faults.test.ts
+++ b/packages/agent/test/faults.test.ts
@@ -10,17 +10,17 @@
 import { startTestAgent } from './support/agent.js';
 import { createFakeEntry, dispatchOf, readable, textOf } from './support/entry.js';
 import type { FakeEntry } from './support/entry.js';
-import { declare, untilIntentAt } from './support/intent.js';
+import { declareIntent, waitForIntentOffset } from './support/intent.js';
 import { createFakeUpstream } from './support/upstream.js';
 import type { FakeUpstream } from './support/upstream.js';
 
-const bytesOf = (frames: PeerFrame[]): number =>
+const countBytes = (frames: PeerFrame[]): number =>
   frames.reduce((sum, frame) => sum + (frame.t === 'chunk' ? frame.data.length : 0), 0);
 
 describe('agent under faults', () => {
   let upstream: FakeUpstream;
   let log: LogStandIn;
-  const opened: { close(): Promise<void> }[] = [];
+  const resources: { close(): Promise<void> }[] = [];
 
   beforeEach(async () => {
     upstream = await createFakeUpstream();
@@ -28,7 +28,7 @@
   });
 
   afterEach(async () => {
-    await Promise.all(opened.splice(0).map((one) => one.close()));
+    await Promise.all(resources.splice(0).map((resource) => resource.close()));
     await upstream.close();
     await log.close();
   });
@@ -36,89 +36,93 @@
   const start = async (clock?: Clock) => {
     const overrides = clock ? { clock } : {};
     const agent = await startTestAgent(upstream.url, {}, overrides, log.url);
-    opened.push({ close: agent.stop });
+    resources.push({ close: agent.stop });
     return agent;
   };
 
-  const enter = (address: string, ...rest: [string?, boolean?, string?]): FakeEntry => {
+  const connectEntry = (address: string, ...rest: [string?, boolean?, string?]): FakeEntry => {
     const entry = createFakeEntry(address, ...rest);
-    opened.push(entry);
+    resources.push(entry);
     return entry;
   };
 
-  // Two callers' answers cross: the second request is answered first, in turns with the other.
-  // Every chunk carries its own attempt's id and offset, so each caller gets its own whole answer.
-  it('keeps crossed answers apart', async () => {
+  // The upstream sends chunks of two answers alternately. Each chunk carries the id of its attempt and
+  // its offset, so each caller gets its own complete answer.
+  it('keeps interleaved answers apart', async () => {
     const agent = await start();
-    const entry = enter(agent.link);
+    const entry = connectEntry(agent.link);
     const link = await entry.nextLink();
     link.send(dispatchOf('e:1'));
     const one = await upstream.next();
     link.send(dispatchOf('e:2'));
     const two = await upstream.next();
-    const seen: PeerFrame[] = [];
-    for (const turn of [1, 2, 3]) {
-      two.res.write(`two${turn} `);
-      seen.push(...(await entry.until('chunk')));
-      one.res.write(`one${turn} `);
-      seen.push(...(await entry.until('chunk')));
+    const frames: PeerFrame[] = [];
+    for (const round of [1, 2, 3]) {
+      two.res.write(`two${round} `);
+      frames.push(...(await entry.until('chunk')));
+      one.res.write(`one${round} `);
+      frames.push(...(await entry.until('chunk')));
     }
     two.res.end();
-    seen.push(...(await entry.until('end')));
+    frames.push(...(await entry.until('end')));
     one.res.end();
-    seen.push(...(await entry.until('end')));
-    const of = (id: string) => textOf(seen.filter((frame) => 'id' in frame && frame.id === id));
-    expect([of('e:1'), of('e:2')]).to.deep.equal(['one1 one2 one3 ', 'two1 two2 two3 ']);
+    frames.push(...(await entry.until('end')));
+    const textOfAttempt = (id: string) =>
+      textOf(frames.filter((frame) => 'id' in frame && frame.id === id));
+    expect([textOfAttempt('e:1'), textOfAttempt('e:2')]).to.deep.equal([
+      'one1 one2 one3 ',
+      'two1 two2 two3 ',
+    ]);
   });
 
-  // An entry names an attempt of another entry. Obeying it would cancel a stranger's request or
-  // send its answer astray, so that link ends and the other entry's request goes on.
-  it('ends the link of an entry that names a foreign attempt', async () => {
+  // An entry names an attempt of another entry. Handling the frame would cancel the other entry's
+  // request or send its answer to the wrong entry, so the link is closed and the request goes on.
+  it('closes the link of an entry that names an attempt of another entry', async () => {
     const agent = await start();
-    const honest = enter(agent.link, 'e');
-    const link = await honest.nextLink();
+    const ownEntry = connectEntry(agent.link, 'e');
+    const link = await ownEntry.nextLink();
     link.send(dispatchOf('e:1'));
     const { res } = await upstream.next();
-    const other = await enter(agent.link, 'f').nextLink();
-    other.send({ t: 'cancel', id: 'e:1' });
-    expect(await other.closed).to.equal('closed-by-peer');
+    const foreignLink = await connectEntry(agent.link, 'f').nextLink();
+    foreignLink.send({ t: 'cancel', id: 'e:1' });
+    expect(await foreignLink.closed).to.equal('closed-by-peer');
     res.end('whole');
-    expect(textOf(await honest.until('end'))).to.equal('whole');
+    expect(textOf(await ownEntry.until('end'))).to.equal('whole');
     expect(agent.metrics.counter('frames_refused', { reason: 'foreign-attempt' })).to.equal(1);
   });
 
-  // The caller reads slowly, so the entry grants no credit. The agent holds the upstream back and
-  // keeps no more than the credit, plus the one piece that the upstream had just sent.
-  it('holds the upstream back for an entry that grants no credit', async () => {
+  // The caller reads slowly, so the entry grants no credit. The agent pauses reading from the upstream
+  // and buffers at most the credit plus the chunk that the upstream has just sent.
+  it('applies backpressure to the upstream when the entry grants no credit', async () => {
     const agent = await start();
-    const entry = enter(agent.link, 'e', false);
+    const entry = connectEntry(agent.link, 'e', false);
     const link = await entry.nextLink();
     link.send(dispatchOf('e:1'));
     const { res } = await upstream.next();
     const total = 32 * INITIAL_CREDIT_BYTES;
     res.end(Buffer.alloc(total));
-    const seen: PeerFrame[] = [];
-    while (bytesOf(seen) < INITIAL_CREDIT_BYTES) seen.push(...(await entry.until('chunk')));
-    link.send({ t: 'query', id: 'e:1', headReceived: true, received: bytesOf(seen) });
-    seen.push(...(await entry.until('in-progress')));
-    expect(bytesOf(seen)).to.equal(INITIAL_CREDIT_BYTES);
+    const frames: PeerFrame[] = [];
+    while (countBytes(frames) < INITIAL_CREDIT_BYTES) frames.push(...(await entry.until('chunk')));
+    link.send({ t: 'query', id: 'e:1', headReceived: true, received: countBytes(frames) });
+    frames.push(...(await entry.until('in-progress')));
+    expect(countBytes(frames)).to.equal(INITIAL_CREDIT_BYTES);
     expect(res.writableFinished).to.equal(false);
     let granted = 0;
-    while (bytesOf(seen) < total) {
-      const held = bytesOf(seen);
+    while (countBytes(frames) < total) {
+      const held = countBytes(frames);
       link.send({ t: 'credit', id: 'e:1', bytes: held - granted });
       granted = held;
-      seen.push(...(await entry.until('chunk')));
+      frames.push(...(await entry.until('chunk')));
     }
     link.send({ t: 'credit', id: 'e:1', bytes: total - granted });
     expect((await entry.until('end')).at(-1)).to.include({ length: total });
   });
 
-  // The link breaks right after the head was sent, and nobody knows whether the entry has it. The
-  // entry says so in its query: the head comes again only if it is missing.
-  it('sends the head again only to an entry without it', async () => {
+  // The link is lost right after the head was sent, and the agent can't know whether the entry got
+  // it. The entry reports it in its query, and the head is sent again only if it is missing.
+  it('resends the head only to an entry that has not received it', async () => {
     const agent = await start();
-    const entry = enter(agent.link);
+    const entry = connectEntry(agent.link);
     const link = await entry.nextLink();
     link.send(dispatchOf('e:1'));
     const { res } = await upstream.next();
@@ -132,11 +136,11 @@
     expect(textOf(await entry.until('end'))).to.equal('whole');
   });
 
-  // The caller of a title check goes away while it runs. Cutting it off would leave nobody knowing
-  // whether it ran, so a started call that may not be repeated runs to its end.
-  it('lets a started call that may not be repeated run to its end', async () => {
+  // The caller of a request that may not be repeated disconnects while it runs. After an abort it
+  // would be unknown whether it ran, so a started request runs to its end.
+  it('does not abort a started request that may not be repeated', async () => {
     const agent = await start();
-    const entry = enter(agent.link);
+    const entry = connectEntry(agent.link);
     const link = await entry.nextLink();
     link.send(dispatchOf('e:1', { mayNotRepeat: true }));
     const { res } = await upstream.next();
@@ -147,16 +151,16 @@
     expect((await entry.until('end')).at(-1)).to.include({ length: 0 });
   });
 
-  // An entry dies with requests queued and running here. After the grace nobody can come back for
-  // them, so they leave the queue and the upstream instead of keeping slots from others.
-  it('gives up the attempts of an entry that does not come back', async () => {
+  // An entry crashes with requests queued and running here. After the grace period no entry can
+  // resume them, so they are cancelled and free their slots.
+  it('abandons the attempts of an entry that does not reconnect', async () => {
     const clock = createManualClock();
     const agent = await startTestAgent(upstream.url, { concurrency: 1 }, { clock }, log.url);
-    const entry = enter(agent.link);
+    const entry = connectEntry(agent.link);
     const link = await entry.nextLink();
     link.send(dispatchOf('e:1'));
     const { res } = await upstream.next();
-    const cut = once(res, 'close');
+    const upstreamClosed = once(res, 'close');
     link.send(dispatchOf('e:2'));
     link.send({ t: 'query', id: 'e:2', headReceived: false, received: 0 });
     await entry.until('in-progress');
@@ -165,7 +169,7 @@
       await setImmediate();
     }
     await clock.advance(5_000);
-    await cut;
+    await upstreamClosed;
     expect(upstream.requests()).to.equal(1);
     expect(agent.metrics.counter('attempts_abandoned', { state: 'queued' })).to.equal(1);
     const stopped = agent.stop();
@@ -173,16 +177,16 @@
     await stopped;
   });
 
-  // Operators stop the data centre of this agent. Entries elsewhere that lag behind are told "not
-  // run" and try another upstream; the entries beside it still need it for what they hold, so
-  // their work is taken until they have drained.
-  it('turns away entries of other data centres while its own is being stopped', async () => {
+  // Operators stop the data centre of this agent. Entries elsewhere that don't know it yet get "not
+  // run" and try another upstream. The entries of its own data centre still have requests to finish,
+  // so the agent accepts theirs until they have drained.
+  it('refuses requests from other data centres while its own is being stopped', async () => {
     const agent = await start();
-    const near = enter(agent.link, 'e');
-    const far = enter(agent.link, 'f', true, 'lynnwood');
+    const near = connectEntry(agent.link, 'e');
+    const far = connectEntry(agent.link, 'f', true, 'lynnwood');
     const [nearLink, farLink] = await Promise.all([near.nextLink(), far.nextLink()]);
-    await declare(log.url, 'dataCentres/kent', { state: 'stopped' });
-    await untilIntentAt(agent.operators, 0);
+    await declareIntent(log.url, 'dataCentres/kent', { state: 'stopped' });
+    await waitForIntentOffset(agent.operators, 0);
     farLink.send(dispatchOf('f:1'));
     expect(readable(await far.until('not-run')).at(-1)).to.include({ reason: 'leaving' });
     nearLink.send(dispatchOf('e:1'));
--- a/packages/agent/test/group.test.ts
+++ b/packages/agent/test/group.test.ts
@@ -19,7 +19,7 @@
   slots: 4,
   bytesPerExpert: 1_000,
 };
-const fast: Partial<GroupTimings> = {
+const fastTimings: Partial<GroupTimings> = {
   heartbeatMs: 20,
   takeoverMs: 100,
   callMs: 300,
@@ -29,7 +29,7 @@
 
 const ranksOf = (index: number): number[] => [index * RANKS_EACH, index * RANKS_EACH + 1];
 
-describe('expert group over agents', () => {
+describe('expert group of agents', () => {
   let engines: EngineGroupStandIn;
   let log: LogStandIn;
   let vms: VmListStandIn;
@@ -66,11 +66,11 @@
     return startTestAgent(
       url,
       {},
-      { settings, groupTimings: fast, random: createSeededRandom(index + 1) },
+      { settings, groupTimings: fastTimings, random: createSeededRandom(index + 1) },
     );
   };
 
-  const publish = () =>
+  const publishVmList = () =>
     vms.setVms(
       agents.map((agent, index) => ({
         targets: [agent.link],
@@ -84,29 +84,29 @@
 
   const startAll = async () => {
     agents = await Promise.all(engines.engines.map(startOne));
-    publish();
+    publishVmList();
   };
 
   const steps = () => engines.oracle().steps;
 
-  // The engines start with nothing in memory and step only once a coordinator has formed the group.
-  // The agents find each other in the list, one claims the group, and all ranks get one map.
+  // The engines start without a map and step only once a coordinator has formed the group. The agents
+  // find each other in the VM list, one claims the group, and all ranks get the same map.
   it('forms the group with one map on all ranks', async () => {
     await startAll();
     await engines.waitFor(() => steps() > 20);
     expect(engines.oracle().mixedSteps).to.equal(0);
   });
 
-  // An engine dies with its memory, and its agent is replaced at another address. The group cannot
-  // step without its ranks; the coordinator forms it anew, and no step mixes maps.
-  it('forms the group anew after an engine and its agent were replaced', async () => {
+  // An engine loses its memory in a crash, and its agent is replaced at another address. The group
+  // cannot step without the engine's ranks; the coordinator forms it again, and no step mixes maps.
+  it('forms the group again after an engine and its agent were replaced', async () => {
     await startAll();
     await engines.waitFor(() => steps() > 20);
     await engines.kill(1);
     await agents[1]?.stop();
     await engines.restart(1);
     agents[1] = await startOne(engines.engines[1] ?? '', 1);
-    publish();
+    publishVmList();
     const before = steps();
     await engines.waitFor(() => steps() > before + 20);
     expect(engines.oracle().mixedSteps).to.equal(0);
@@ -119,25 +119,25 @@
     return group.coordinator.role;
   };
 
-  const coordinatorAmong = async (candidates: typeof agents): Promise<number> => {
+  const findActingCoordinator = async (candidates: typeof agents): Promise<number> => {
     for (;;) {
       const roles = await Promise.all(candidates.map(roleOf));
       if (roles.includes('acting')) return roles.indexOf('acting');
     }
   };
 
-  // The agent that coordinates the group is replaced. Its engine steps on, as no step needs the
-  // coordinator; once all ranks can be reached again a coordinator takes over, without a new map.
-  it('goes on stepping while its coordinator is replaced', async () => {
+  // The agent that coordinates the group is replaced. The engines keep stepping, as no step needs the
+  // coordinator; once all ranks are reachable again a coordinator takes over without a new map.
+  it('keeps stepping while its coordinator is replaced', async () => {
     await startAll();
     await engines.waitFor(() => steps() > 20);
-    const first = await coordinatorAmong(agents);
+    const first = await findActingCoordinator(agents);
     await agents[first]?.stop();
     const before = steps();
     await engines.waitFor(() => steps() > before + 20);
     agents[first] = await startOne(engines.engines[first] ?? '', first);
-    publish();
-    await coordinatorAmong(agents);
+    publishVmList();
+    await findActingCoordinator(agents);
     expect(engines.oracle().mixedSteps).to.equal(0);
     expect(Object.keys(engines.oracle().stepsByVersion)).to.have.length(1);
   });
--- a/packages/agent/test/keyed.test.ts
+++ b/packages/agent/test/keyed.test.ts
@@ -16,37 +16,39 @@
     ...overrides,
   });
 
-describe('keyed calls', () => {
+describe('requests with an idempotency key', () => {
   let log: LogStandIn;
   const upstreams: FakeUpstream[] = [];
-  const opened: { close(): Promise<void> }[] = [];
+  const resources: { close(): Promise<void> }[] = [];
 
   beforeEach(async () => {
     log = await createLogStandIn();
   });
 
   afterEach(async () => {
-    await Promise.all(opened.splice(0).map((one) => one.close()));
-    await Promise.all(upstreams.splice(0).map((one) => one.close()));
+    await Promise.all(resources.splice(0).map((resource) => resource.close()));
+    await Promise.all(upstreams.splice(0).map((upstream) => upstream.close()));
     await log.close();
   });
 
-  /** An agent with its upstream, and an entry that is linked to it. */
+  /** Starts an agent with its upstream, and an entry that is connected to it. */
   const startNode = async (instance: string) => {
     const upstream = await createFakeUpstream();
     upstreams.push(upstream);
     const agent = await startTestAgent(upstream.url, {}, {}, log.url);
     const entry = createFakeEntry(agent.link, instance);
-    opened.push({ close: agent.stop }, entry);
+    resources.push({ close: agent.stop }, entry);
     const link = await entry.nextLink();
     return { agent, upstream, entry, link };
   };
 
-  const runs = (): number => upstreams.reduce((sum, upstream) => sum + upstream.requests(), 0);
+  const countUpstreamRequests = (): number =>
+    upstreams.reduce((sum, upstream) => sum + upstream.requests(), 0);
 
-  // A client comes again with the same key through another entry, while its first call still runs.
-  // One call runs; the other is told so. Once the first has ended, a repeat gets its answer.
-  it('run at most once over two agents, and a repeat gets the known answer', async () => {
+  // A client repeats a request with the same key through another entry while the first still runs.
+  // Only the first runs, and the repeat ends as unknown. Once the first has ended, a repeat gets its
+  // answer.
+  it('run at most once over two agents, and a repeat gets the stored answer', async () => {
     const one = await startNode('e');
     const two = await startNode('f');
     one.link.send(keyedOf('e:1'));
@@ -68,15 +70,15 @@
     expect(readable(await two.entry.until('not-run')).at(-1)).to.include({
       reason: 'claim-key-reused',
     });
-    expect(runs()).to.equal(1);
+    expect(countUpstreamRequests()).to.equal(1);
   });
 
-  // A client comes again with its key while its call runs, after it ran with an answer too long to be
-  // kept, or after the key's time is over. Told "not run", the client would send the call under a new
-  // key, and it would run twice. So each repeat ends as unknown, and nothing runs.
-  it('never call a repeat "not run" when the key\'s call runs, has run, or may have run', async () => {
+  // A client repeats a request while the first one runs, after it ran with an answer too long to be
+  // stored, or after the key has expired. After "not run" the client could send the request under a
+  // new key, and it would run twice. So each repeat ends as unknown, and nothing runs.
+  it('never report "not run" for a repeat when the first request runs, has run or may have run', async () => {
     const { entry, link, upstream } = await startNode('e');
-    const endOf = async (id: AttemptId, overrides: Partial<Dispatch> = {}) => {
+    const replyTo = async (id: AttemptId, overrides: Partial<Dispatch> = {}) => {
       link.send(keyedOf(id, overrides));
       const [end] = readable([await entry.next()]);
       return end;
@@ -84,19 +86,19 @@
     link.send(keyedOf('e:1'));
     const { res } = await upstream.next();
     await entry.until('started');
-    expect(await endOf('e:2')).to.include({ t: 'unknown', reason: 'duplicate-in-progress' });
+    expect(await replyTo('e:2')).to.include({ t: 'unknown', reason: 'duplicate-in-progress' });
     res.end('x'.repeat(2_000));
     await entry.until('end');
     await log.waitFor(({ records }) => records === 2);
-    expect(await endOf('e:3')).to.include({ t: 'unknown', reason: 'duplicate-known' });
+    expect(await replyTo('e:3')).to.include({ t: 'unknown', reason: 'duplicate-known' });
     const key = '01890a5d-ac96-774b-bcce-b302099a8057';
     const expired = { idempotency: { key, bodyHash: 'a'.repeat(64) } };
-    expect(await endOf('e:4', expired)).to.include({ t: 'unknown', reason: 'claim-key-expired' });
-    expect(runs()).to.equal(1);
+    expect(await replyTo('e:4', expired)).to.include({ t: 'unknown', reason: 'claim-key-expired' });
+    expect(countUpstreamRequests()).to.equal(1);
   });
 
-  // The log is down, so nobody can prove that a keyed call has not run before. It is refused at
-  // once and not run; calls without a key don't need the log and go on.
+  // While the log is down, nothing proves that a request with a key has not run before. It is refused
+  // immediately and not run; requests without a key don't need the log and are served.
   it('are refused while the log is down', async () => {
     const node = await startNode('e');
     log.setFaults({ outage: 'all' });
@@ -107,22 +109,22 @@
     node.link.send(dispatchOf('e:2'));
     (await node.upstream.next()).res.end('answer');
     expect(textOf(await node.entry.until('end'))).to.equal('answer');
-    expect(runs()).to.equal(1);
+    expect(countUpstreamRequests()).to.equal(1);
   });
 
-  // The claim's append takes effect, but its answer is lost. Replay shows the claim in the log, so
-  // the call runs, once.
+  // The append of the claim takes effect, but its answer is lost. Reading the log shows the claim, so
+  // the request runs, once.
   it('run once when the answer to the append is lost', async () => {
     const node = await startNode('e');
     log.setFaults({ loseAnswers: 1 });
     node.link.send(keyedOf('e:1'));
     (await node.upstream.next()).res.end('clear');
     expect(textOf(await node.entry.until('end'))).to.equal('clear');
-    expect(runs()).to.equal(1);
+    expect(countUpstreamRequests()).to.equal(1);
   });
 
-  // The upstream dies after it was given the call. Nobody knows whether it ran, so the key stays
-  // taken: a repeat, also elsewhere, is never run.
+  // The upstream closes the connection after it received the request. It is unknown whether the
+  // request ran, so its key stays claimed: a repeat is never run, also not at another agent.
   it('never run again after an unknown outcome', async () => {
     const one = await startNode('e');
     const two = await startNode('f');
@@ -131,12 +133,12 @@
     await one.entry.until('unknown');
     two.link.send(keyedOf('f:1'));
     expect(readable(await two.entry.until('unknown')).at(-1)).to.include({ reason: 'claim-lost' });
-    expect(runs()).to.equal(1);
+    expect(countUpstreamRequests()).to.equal(1);
   });
 
-  // The upstream refuses the connection, so the call provably didn't run. Its key is released, and
-  // the same call runs at another upstream.
-  it('run elsewhere after a proved "not run"', async () => {
+  // The upstream refuses the connection, so the request certainly did not run. Its key is released,
+  // and the same request runs at another upstream.
+  it('run at another upstream after a certain "not run"', async () => {
     const one = await startNode('e');
     const two = await startNode('f');
     await one.upstream.close();
@@ -147,9 +149,9 @@
     expect(textOf(await two.entry.until('end'))).to.equal('clear');
   });
 
-  // A client uses its key again at another path, with the same (empty) body. That is another call:
-  // giving it the first one's answer would be wrong, so it is refused.
-  it('are refused when the key comes back at another path', async () => {
+  // A client reuses its key at another path with the same body. That is a different request: replaying
+  // the answer of the first one would be wrong, so it is refused.
+  it('are refused when the key is reused at another path', async () => {
     const node = await startNode('e');
     node.link.send(keyedOf('e:1', { path: '/title-check' }));
     (await node.upstream.next()).res.end('clear');
@@ -160,9 +162,9 @@
     });
   });
 
-  // The caller of a keyed call goes away while it runs. Cutting the call off would leave its key
-  // taken with an unknown outcome for good, so it runs to its end, and a repeat learns the answer.
-  it('run to their end when the caller goes away', async () => {
+  // The caller of a request with a key disconnects while it runs. An abort would leave the key claimed
+  // with an unknown outcome for good, so the request runs to its end, and a repeat gets the answer.
+  it('run to their end when the caller disconnects', async () => {
     const node = await startNode('e');
     node.link.send(keyedOf('e:1', { mayNotRepeat: false }));
     const { res } = await node.upstream.next();
--- a/packages/agent/test/process.test.ts
+++ b/packages/agent/test/process.test.ts
@@ -54,7 +54,7 @@
     expect((await finish(run('--nonsense'))).code).to.equal(2);
   });
 
-  it('serves until SIGTERM, finishes what runs, then exits with 0', async () => {
+  it('serves until SIGTERM, finishes running requests, then exits with 0', async () => {
     const upstream = await createFakeUpstream();
     const log = await createLogStandIn();
     const file = join(directory, 'agent.jsonc');
--- a/packages/agent/test/run-keyed.test.ts
+++ b/packages/agent/test/run-keyed.test.ts
@@ -8,23 +8,23 @@
 
 const answered: AttemptOutcome = { outcome: 'answered' };
 
-/** Lets promises settle that wait for nothing else. */
-const turn = (): Promise<void> =>
+/** Waits until all promises that depend on no I/O or timer have settled. */
+const flushPromises = (): Promise<void> =>
   new Promise((resolve) => {
     setImmediate(resolve);
   });
 
-describe('the runner of keyed calls', () => {
-  // A caller gets its whole answer and comes again at once with the same key, through another entry and agent. The
-  // record of the first outcome is still on its way to the log, so the repeat is told "unknown" about an answer that
-  // the caller already has. The entry ends an answer when the agent says so; the agent must have the record first.
-  it('ends an answered call only when the log has its outcome', async () => {
-    let landed = (): void => {};
+describe('runner of requests with an idempotency key', () => {
+  // A caller that has its full answer repeats the request immediately, through another entry and agent. If the log did
+  // not have the first outcome yet, the repeat would end as "unknown" though the caller already has the answer. So the
+  // agent ends an answer only after its outcome is recorded.
+  it('ends an answered request only after the log has its outcome', async () => {
+    let confirmRecorded = (): void => {};
     const claims: Claims = {
       claim: async () => ({ verdict: 'first', claim: 'kent:1' }),
       finish: () =>
         new Promise((resolve) => {
-          landed = resolve;
+          confirmRecorded = resolve;
         }),
       release: async () => {},
       abandon: () => {},
@@ -41,10 +41,10 @@
     void run(attempt, dispatchOf(id), key, () => true).then((outcome) => {
       ended = outcome;
     });
-    await turn();
+    await flushPromises();
     expect(ended).to.equal(undefined);
-    landed();
-    await turn();
+    confirmRecorded();
+    await flushPromises();
     expect(ended).to.deep.equal(answered);
   });
 });
--- a/packages/agent/test/support/agent.ts
+++ b/packages/agent/test/support/agent.ts
@@ -7,7 +7,7 @@
 import type { AgentOptions } from '../../src/index.js';
 import { startAgent } from '../../src/index.js';
 
-/** Settings of an agent beside the upstream at `url`. */
+/** Returns settings of an agent beside the upstream at `url`. */
 export const settingsFor = (
   url: string,
   limits: Record<string, number> = {},
--- a/packages/agent/test/support/entry.ts
+++ b/packages/agent/test/support/entry.ts
@@ -3,7 +3,7 @@
 import { createLinkClient, defaultBackoff, defaultLinkLimits } from '@plantaindrum/link';
 import { createMailbox } from './mailbox.js';
 
-/** An entry's side of a link, driven by the test; it grants credit for all that it receives. */
+/** Connects as an entry that the test controls; by default it grants credit for all bytes it receives. */
 export const createFakeEntry = (
   address: string,
   instance = 'e',
@@ -35,13 +35,13 @@
     log: silentLogger,
   });
 
-  /** Frames up to and including the first of this kind. */
+  /** Receives frames up to and including the first of this type. */
   const until = async (t: PeerFrame['t']): Promise<PeerFrame[]> => {
-    const seen: PeerFrame[] = [];
+    const received: PeerFrame[] = [];
     for (;;) {
       const frame = await frames.take();
-      seen.push(frame);
-      if (frame.t === t) return seen;
+      received.push(frame);
+      if (frame.t === t) return received;
     }
   };
 
@@ -51,7 +51,7 @@
 /** The entry of a test. */
 export type FakeEntry = ReturnType<typeof createFakeEntry>;
 
-/** A dispatch of a small completion. */
+/** Creates a dispatch of a small completion. */
 export const dispatchOf = (id: AttemptId, overrides: Partial<Dispatch> = {}): Dispatch => ({
   t: 'dispatch',
   id,
@@ -67,11 +67,11 @@
   ...overrides,
 });
 
-/** The bytes of the chunks among some frames, as text. */
+/** Concatenates the data of all chunks among the frames, as text. */
 export const textOf = (frames: PeerFrame[]): string =>
   frames.map((frame) => (frame.t === 'chunk' ? Buffer.from(frame.data).toString() : '')).join('');
 
-/** Frames with bytes as text and without the load, which depends on timing. */
+/** Returns frames with their data as text and without the load, which depends on timing. */
 export const readable = (frames: PeerFrame[]): unknown[] =>
   frames.map((frame) => {
     const { load, ...rest } = frame as PeerFrame & { load?: unknown };
--- a/packages/agent/test/support/mailbox.ts
+++ b/packages/agent/test/support/mailbox.ts
@@ -1,4 +1,4 @@
-/** A queue whose reader waits for the next item. */
+/** An asynchronous queue. */
 export interface Mailbox<T> {
   put(item: T): void;
   take(): Promise<T>;
--- a/packages/agent/test/support/upstream.ts
+++ b/packages/agent/test/support/upstream.ts
@@ -4,14 +4,14 @@
 import type { AddressInfo } from 'node:net';
 import { createMailbox } from './mailbox.js';
 
-/** One request that arrived at the upstream. */
+/** One request that the upstream received, with its response. */
 export interface UpstreamExchange {
   req: IncomingMessage;
   res: ServerResponse;
   body: string;
 }
 
-/** An HTTP server whose answers the test writes by hand. */
+/** Starts an HTTP server whose answers the test writes. */
 export const createFakeUpstream = async () => {
   const arrived = createMailbox<UpstreamExchange>();
   let requests = 0;
