--- a/packages/agent/src/core/agent.ts
+++ b/packages/agent/src/core/agent.ts
@@ -62,12 +62,7 @@
   const { attemptManager, load } = serving;
   const isReady = (): boolean => intent.freshness().caughtUp && !load().leaving;
 
-  const entries = createEntries({
-    attemptManager,
-    isLeaving: () => load().leaving,
-    metrics,
-    log,
-  });
+  const entries = createEntries({ attemptManager, isLeaving: () => load().leaving, metrics, log });
   const links = createAgentLinks({
     settings,
     instance,
--- a/packages/agent/src/core/attempts/attempt-manager.ts
+++ b/packages/agent/src/core/attempts/attempt-manager.ts
@@ -24,7 +24,7 @@
   /** How long attempts wait for their entry to reconnect after a lost link, in milliseconds. */
   graceMs: number;
   /** Maximum total size of the request bodies in memory, in bytes. */
-  heldBytes: number;
+  maxHeldBytes: number;
   /** Maximum number of ended attempts whose answers have not been delivered to their entries. */
   maxUndelivered: number;
 }
@@ -62,7 +62,7 @@
     return queued === 0 && running === 0 && ended.undelivered() === 0;
   };
 
-  const notifyWhenIdle = (): void => {
+  const notifyIfIdle = (): void => {
     if (!isIdle()) return;
     const waiters = idleWaiters;
     idleWaiters = [];
@@ -72,7 +72,7 @@
   const handleDelivery = (attempt: Attempt): void => {
     if (attempt.state() !== 'ended' || !ended.markDelivered(attempt)) return;
     startQueued();
-    notifyWhenIdle();
+    notifyIfIdle();
   };
 
   const addAttempt = (id: AttemptId, link: Link, dispatch: Dispatch): Attempt => {
@@ -133,7 +133,7 @@
     queue.finished(id);
     endAttempt(attempt, outcome);
     startQueued();
-    notifyWhenIdle();
+    notifyIfIdle();
   };
 
   // Entries that read their answers slowly must not fill the memory of this process.
@@ -170,7 +170,7 @@
 
   const admit = (attempt: Attempt, dispatch: Dispatch, link: Link): void => {
     if (options.refusesEntry(link)) refuseAttempt(attempt, 'leaving');
-    else if (heldBytes > limits.heldBytes) refuseAttempt(attempt, 'queue-full');
+    else if (heldBytes > limits.maxHeldBytes) refuseAttempt(attempt, 'queue-full');
     else enqueue(attempt, dispatch);
   };
 
@@ -259,7 +259,7 @@
     attempt.abandon();
     if (!wasDelivered) metrics.count('attempts_abandoned', { state: attempt.state() });
     cancelById(attempt.id);
-    notifyWhenIdle();
+    notifyIfIdle();
   };
 
   const handleLinkLost = (link: Link): void => {
@@ -273,7 +273,7 @@
     queue.sweep().forEach(endRejected);
     ended.expire((attempt) => attempts.delete(attempt.id));
     startQueued();
-    notifyWhenIdle();
+    notifyIfIdle();
     stopSweep = clock.after(SWEEP_INTERVAL_MS, sweep);
   };
 
@@ -286,10 +286,10 @@
     credit: handleCredit,
     linkLost: handleLinkLost,
     drain: () => queue.leave().forEach(endRejected),
-    idle: () =>
+    waitUntilIdle: () =>
       new Promise((resolve) => {
         idleWaiters.push(resolve);
-        notifyWhenIdle();
+        notifyIfIdle();
       }),
     counts: () => {
       const { queued, running } = queue.load();
--- a/packages/agent/src/core/attempts/run-keyed.ts
+++ b/packages/agent/src/core/attempts/run-keyed.ts
@@ -62,13 +62,17 @@
 };
 
 /** Sends the answer of the earlier request with the same key, if its body was stored. */
-const replay = (attempt: Attempt, known: ClaimOutcome, tryStart: () => boolean): AttemptOutcome => {
-  if (known.body === undefined) return unknownOutcome('duplicate-known', tryStart);
+const replay = (
+  attempt: Attempt,
+  claimOutcome: ClaimOutcome,
+  tryStart: () => boolean,
+): AttemptOutcome => {
+  if (claimOutcome.body === undefined) return unknownOutcome('duplicate-known', tryStart);
   if (!tryStart()) return notRun('cancelled', 0);
   const headers: Record<string, string> = { ...REPLAY_HEADERS };
-  if (known.contentType !== undefined) headers['content-type'] = known.contentType;
-  attempt.answer.head(known.status, headers);
-  const body = Buffer.from(known.body, 'base64');
+  if (claimOutcome.contentType !== undefined) headers['content-type'] = claimOutcome.contentType;
+  attempt.answer.head(claimOutcome.status, headers);
+  const body = Buffer.from(claimOutcome.body, 'base64');
   if (body.length > 0) void attempt.answer.write(body);
   return { outcome: 'answered' };
 };
--- a/packages/agent/src/core/attempts/serving.ts
+++ b/packages/agent/src/core/attempts/serving.ts
@@ -5,7 +5,7 @@
 import type { Log } from '@plantaindrum/service-clients';
 import type { AgentQueue, Claims } from '@plantaindrum/requests';
 import { createAgentQueue, createAttemptLedger, createClaims } from '@plantaindrum/requests';
-import { engineBody } from '../upstream/engine-body.js';
+import { encodeEngineBody } from '../upstream/engine-body.js';
 import type { Upstream } from '../upstream/upstream.js';
 import { createUpstream } from '../upstream/upstream.js';
 import type { AttemptLimits } from './attempt-manager.js';
@@ -22,7 +22,7 @@
   retentionMs: 60_000,
   maxEnded: 4_096,
   graceMs: 5_000,
-  heldBytes: 67_108_864,
+  maxHeldBytes: 67_108_864,
 };
 
 /** Options of `createServing`. */
@@ -59,7 +59,8 @@
   queue: AgentQueue<QueuedAttempt>,
   claims: Claims,
 ): AttemptRunner => {
-  const encodeBody = settings.upstream.kind === 'model' ? engineBody : ({ body }: Dispatch) => body;
+  const encodeBody =
+    settings.upstream.kind === 'model' ? encodeEngineBody : ({ body }: Dispatch) => body;
   const refusalStatuses = settings.upstream.kind === 'model' ? ENGINE_REFUSAL_STATUSES : [];
   const runOptions = {
     upstream,
@@ -113,7 +114,7 @@
     load,
     drain: async () => {
       attemptManager.drain();
-      await attemptManager.idle();
+      await attemptManager.waitUntilIdle();
       await claims.flush(CLAIMS_FLUSH_TIMEOUT_MS);
     },
     close: async () => {
--- a/packages/agent/src/core/attempts/types.ts
+++ b/packages/agent/src/core/attempts/types.ts
@@ -25,7 +25,7 @@
   /** Refuses new requests and returns queued ones as "not run". */
   drain(): void;
   /** Resolves once nothing is queued or running and every outcome has been sent. */
-  idle(): Promise<void>;
+  waitUntilIdle(): Promise<void>;
   counts(): { queued: number; running: number; undelivered: number };
   close(): void;
 }
--- a/packages/agent/src/core/group/group.ts
+++ b/packages/agent/src/core/group/group.ts
@@ -18,7 +18,7 @@
   platformLog: Log;
   /** Connects to another agent and reconnects when the link is lost. */
   connect: (address: { host: string; port: number }) => LinkClient;
-  /** What operators declared that balancing weighs, by group or by model; undefined if nothing is declared. */
+  /** The balancing criterion that operators declared for a group or model; undefined if none. */
   weighs: (name: string) => Weighs | undefined;
   /** Whether experts may be moved; false while live traffic needs the VM. */
   mayMove: () => boolean;
--- a/packages/agent/src/core/upstream/engine-body.ts
+++ b/packages/agent/src/core/upstream/engine-body.ts
@@ -4,7 +4,7 @@
 /** Request priorities of vLLM: a lower value is scheduled first. */
 const ENGINE_PRIORITY: Record<Dispatch['priority'], number> = { live: 0, normal: 1, background: 2 };
 
-const parse = (body: Uint8Array): unknown => {
+const parseJson = (body: Uint8Array): unknown => {
   try {
     return JSON.parse(Buffer.from(body).toString());
   } catch {
@@ -19,8 +19,8 @@
  * it would let one organisation overtake all others. A body that is not a JSON object is left for the
  * engine to refuse.
  */
-export const engineBody = ({ path, body, priority }: Dispatch): Uint8Array => {
-  const document = path === COMPLETIONS_PATH ? parse(body) : undefined;
+export const encodeEngineBody = ({ path, body, priority }: Dispatch): Uint8Array => {
+  const document = path === COMPLETIONS_PATH ? parseJson(body) : undefined;
   if (!isObject(document)) return body;
   return Buffer.from(JSON.stringify({ ...document, priority: ENGINE_PRIORITY[priority] }));
 };
--- a/packages/agent/test/agent.test.ts
+++ b/packages/agent/test/agent.test.ts
@@ -212,7 +212,7 @@
     const agent = await startTestAgent(
       upstream.url,
       { concurrency: 1 },
-      { attemptLimits: { heldBytes: 25 } },
+      { attemptLimits: { maxHeldBytes: 25 } },
     );
     resources.push({ close: agent.stop });
     const entry = connectEntry(agent.link);
