--- a/packages/agent/src/core/agent.ts
+++ b/packages/agent/src/core/agent.ts
@@ -1,4 +1,4 @@
-/** An agent: the queue, the upstream, the links, the intent and the expert group put together. */
+/** Assembles an agent: queue, upstream, links, intent and expert group. */
 
 import { randomBytes } from 'node:crypto';
 import type { AgentSettings, Clock, Logger, Metrics, Random } from '@plantaindrum/common';
@@ -9,32 +9,32 @@
 import { NODE_STATUS } from '@plantaindrum/link';
 import type { Log } from '@plantaindrum/service-clients';
 import { createLogClient, createVmListClient } from '@plantaindrum/service-clients';
-import type { DeskLimits } from './attempts/desk.js';
+import type { AttemptLimits } from './attempts/attempt-manager.js';
 import { createServing } from './attempts/serving.js';
 import { createEntries } from './entries.js';
 import { createExpertGroup } from './group/group.js';
 import { createAgentLinks } from './links.js';
-import { openOperatorsDoor } from './operators/door.js';
+import { createOperatorServer } from './operators/operator-server.js';
 import { agentStatus } from './status.js';
 
-/** What an agent needs besides its settings. */
+/** Options of `startAgent`. */
 export interface AgentOptions {
   settings: AgentSettings;
   clock: Clock;
   random: Random;
   metrics: Metrics;
   log: Logger;
-  deskLimits?: Partial<DeskLimits>;
+  attemptLimits?: Partial<AttemptLimits>;
   linkLimits?: Partial<LinkLimits>;
   groupTimings?: Partial<GroupTimings>;
 }
 
 /** A running agent. */
 export interface Agent {
-  /** Addresses of its doors, as the ready line gives them. */
+  /** Addresses of its servers, as printed in the ready line. */
   readonly operators: string;
   readonly link: string;
-  /** Hands back what hasn't started, finishes what runs, then closes. */
+  /** Returns queued requests as "not run", finishes running ones, then closes. */
   stop(): Promise<void>;
 }
 
@@ -44,7 +44,7 @@
   return createIntentReader({ log, clock, random, metrics, logger, follow: 'peers' });
 };
 
-/** Starts an agent; rejects when an address can't be listened on. */
+/** Starts an agent; rejects if it can't listen on an address. */
 export const startAgent = async (options: AgentOptions): Promise<Agent> => {
   const { settings, clock, random, metrics, log } = options;
   const { node, platform } = settings;
@@ -54,15 +54,15 @@
   const vmList = createVmListClient({ url: platform.vmListUrl, client: node.name });
   const intent = createIntent(options, platformLog);
 
-  // Agents stop last: the entries of a data centre that is being stopped still finish their work.
-  const isClosedTo = (entry: Link): boolean =>
+  // Agents of a stopping data centre still serve its own entries, which have requests to finish.
+  const refusesEntry = (entry: Link): boolean =>
     entry.peer.dataCentre !== node.dataCentre &&
     isStopped(intent.current().document, node.dataCentre);
-  const serving = createServing({ ...options, instance, platformLog, isClosedTo });
-  const { desk, load } = serving;
+  const serving = createServing({ ...options, instance, platformLog, refusesEntry });
+  const { attemptManager, load } = serving;
   const isReady = (): boolean => intent.freshness().caughtUp && !load().leaving;
 
-  const entries = createEntries({ desk, isLeaving: () => load().leaving, metrics, log });
+  const entries = createEntries({ attemptManager, isLeaving: () => load().leaving, metrics, log });
   const links = createAgentLinks({
     settings,
     instance,
@@ -96,16 +96,16 @@
       instance,
       ready: isReady,
       load,
-      desk,
+      attemptManager,
       entries: entries.count,
       intent,
       group: () => group?.status(),
     });
-  links.serve({ ...group?.handlers, [NODE_STATUS]: async () => status() });
-  if (group) links.onAgent(group.onLink);
+  links.addHandlers({ ...group?.handlers, [NODE_STATUS]: async () => status() });
+  if (group) links.onAgentLink(group.onLink);
 
   const server = await links.listen();
-  const door = await openOperatorsDoor({
+  const operatorServer = await createOperatorServer({
     listen: settings.operators,
     token: settings.operators.token,
     connections: settings.limits.connections,
@@ -117,7 +117,7 @@
   group?.run();
 
   const stop = async (): Promise<void> => {
-    log.info('leaving: no new work');
+    log.info('draining: new requests are refused');
     const drained = serving.drain();
     entries.announceLeaving();
     await drained;
@@ -125,9 +125,9 @@
     await server.close();
     await serving.close();
     await intent.close();
-    await Promise.all([door.close(), platformLog.close(), vmList.close()]);
+    await Promise.all([operatorServer.close(), platformLog.close(), vmList.close()]);
   };
 
   const { host, port } = server.address;
-  return { operators: door.url, link: `${host}:${port}`, stop };
+  return { operators: operatorServer.url, link: `${host}:${port}`, stop };
 };
--- a/packages/agent/src/core/attempts/answer-copy.ts
+++ b/packages/agent/src/core/attempts/answer-copy.ts
@@ -1,12 +1,12 @@
 import type { ClaimOutcome } from '@plantaindrum/requests';
 import type { AnswerObserver } from './run-attempt.js';
 
-/** Longer answers are not kept with their key. */
+/** Longer answers are not stored with their idempotency key. */
 const MAX_COPIED_BYTES = 768;
 
-/** A copy of a small answer, taken as it passes. */
+/** Records a small answer while it is forwarded. */
 export interface AnswerCopy extends AnswerObserver {
-  /** The answer as a claim keeps it; without a body when that was too long. */
+  /** The answer in the form that a claim stores; without a body if it was too long. */
   outcome(): ClaimOutcome;
 }
 
@@ -14,7 +14,7 @@
 export const createAnswerCopy = (): AnswerCopy => {
   let status = 0;
   let contentType: string | undefined;
-  let parts: Uint8Array[] | undefined = [];
+  let chunks: Uint8Array[] | undefined = [];
   let bytes = 0;
 
   return {
@@ -22,15 +22,15 @@
       status = code;
       contentType = headers['content-type'];
     },
-    data: (part) => {
-      bytes += part.length;
-      if (bytes > MAX_COPIED_BYTES) parts = undefined;
-      parts?.push(part);
+    data: (chunk) => {
+      bytes += chunk.length;
+      if (bytes > MAX_COPIED_BYTES) chunks = undefined;
+      chunks?.push(chunk);
     },
     outcome: () => ({
       status,
       ...(contentType !== undefined && { contentType }),
-      ...(parts && { body: Buffer.concat(parts).toString('base64') }),
+      ...(chunks && { body: Buffer.concat(chunks).toString('base64') }),
     }),
   };
 };
--- a/packages/agent/src/core/attempts/ended-attempts.ts
+++ b/packages/agent/src/core/attempts/ended-attempts.ts
@@ -1,55 +1,56 @@
-/** What is kept of ended attempts, for entries that ask again after a lost link. */
+/** Ended attempts that are retained for entries that query them after a lost link. */
 
 import type { Clock } from '@plantaindrum/common';
 import type { Attempt } from './attempt.js';
 
-/** Bounds on what is kept. */
-export interface EndedLimits {
-  /** How long the outcome of an ended attempt is kept, in milliseconds. */
-  rememberMs: number;
-  /** Most ended attempts that are kept. */
-  most: number;
+/** Limits on the retained attempts. */
+export interface EndedAttemptLimits {
+  /** How long the outcome of an ended attempt is retained, in milliseconds. */
+  retentionMs: number;
+  /** Maximum number of ended attempts that are retained. */
+  maxEnded: number;
 }
 
 /** The ended attempts of an agent. */
 export interface EndedAttempts {
   add(attempt: Attempt): void;
-  /** Whether the entry has everything of the attempt; true only at the moment it became so. */
-  noteDelivery(attempt: Attempt): boolean;
-  /** The entry is gone: nobody waits for what is left of the answer. */
+  /** Marks an attempt that is fully delivered; true only for the call that marks it. */
+  markDelivered(attempt: Attempt): boolean;
+  /** Gives up the delivery to an entry that did not reconnect; true if it was incomplete. */
   abandon(attempt: Attempt): boolean;
-  /** Ended attempts whose bytes or outcome the entry doesn't have yet. */
+  /** Number of ended attempts whose bytes or outcome the entry has not received yet. */
   undelivered(): number;
-  /** Drops what is too old or too much; `drop` is told of each. */
-  expire(drop: (attempt: Attempt) => void): void;
+  /** Drops attempts that exceed the limits, oldest first; calls `onExpired` for each. */
+  expire(onExpired: (attempt: Attempt) => void): void;
 }
 
 /** Creates an empty set. */
-export const createEndedAttempts = (clock: Clock, limits: EndedLimits): EndedAttempts => {
-  /** In the order of their ends. */
-  const kept = new Set<Attempt>();
+export const createEndedAttempts = (clock: Clock, limits: EndedAttemptLimits): EndedAttempts => {
+  /** Ordered by end time. */
+  const endedAttempts = new Set<Attempt>();
   const undelivered = new Set<Attempt>();
 
   const isExpired = (attempt: Attempt): boolean =>
-    kept.size > limits.most || attempt.endedAt() <= clock.monotonic() - limits.rememberMs;
+    endedAttempts.size > limits.maxEnded ||
+    attempt.endedAt() <= clock.monotonic() - limits.retentionMs;
 
   return {
     add: (attempt) => {
-      kept.add(attempt);
+      endedAttempts.add(attempt);
       if (!attempt.abandoned()) undelivered.add(attempt);
     },
-    noteDelivery: (attempt) => {
+    markDelivered: (attempt) => {
       const { answer } = attempt;
-      return answer.delivered() && answer.kept() === 0 && undelivered.delete(attempt);
+      return answer.delivered() && answer.bufferedBytes() === 0 && undelivered.delete(attempt);
     },
     abandon: (attempt) => undelivered.delete(attempt),
     undelivered: () => undelivered.size,
-    expire: (drop) => {
-      for (const attempt of kept) {
+    expire: (onExpired) => {
+      for (const attempt of endedAttempts) {
         if (!isExpired(attempt)) return;
-        kept.delete(attempt);
+        endedAttempts.delete(attempt);
         undelivered.delete(attempt);
-        drop(attempt);
+        onExpired(attempt);
       }
     },
   };
--- a/packages/agent/src/core/attempts/run-keyed.ts
+++ b/packages/agent/src/core/attempts/run-keyed.ts
@@ -1,4 +1,4 @@
-/** Runs calls that carry an idempotency key, each at most once over all agents. */
+/** Runs requests with an idempotency key, each at most once over all agents. */
 
 import { createHash } from 'node:crypto';
 import type { Clock } from '@plantaindrum/common';
@@ -9,26 +9,26 @@
 import type { Attempt } from './attempt.js';
 import type { AnswerObserver } from './run-attempt.js';
 
-/** Least time that a claim is given, in milliseconds. */
-const MIN_CLAIM_MS = 100;
-/** Tells the caller that the call ran earlier and this is the answer it had. */
-const REPLAYED = { 'x-plantaindrum-replayed': 'true' };
+/** Minimum time budget of a claim, in milliseconds. */
+const MIN_CLAIM_BUDGET_MS = 100;
+/** Marks an answer that is replayed from an earlier request with the same key. */
+const REPLAY_HEADERS = { 'x-plantaindrum-replayed': 'true' };
 
-/** What running keyed calls needs. */
+/** Options of `createKeyedRunner`. */
 export interface KeyedRunnerOptions {
   claims: Claims;
-  /** Runs the call at the upstream. */
+  /** Runs the request at the upstream. */
   run: (
     attempt: Attempt,
-    work: Dispatch,
-    begin: () => boolean,
+    dispatch: Dispatch,
+    tryStart: () => boolean,
     observe: AnswerObserver,
   ) => Promise<AttemptOutcome>;
   clock: Clock;
 }
 
-/** The same body at another path is another call, whose answer must not be given for this one. */
-const hashOfCall = ({ method, path }: Dispatch, bodyHash: string): string =>
+/** Method and path are part of the hash: the same body at another path is a different request. */
+const hashCall = ({ method, path }: Dispatch, bodyHash: string): string =>
   createHash('sha256').update(`${method}\n${path}\n${bodyHash}`).digest('hex');
 
 const notRun = (reason: AgentReason, retryAfterMs: number): AttemptOutcome => ({
@@ -38,22 +38,22 @@
 });
 
 /**
- * A repeat whose key's call runs, has run or may have run. Told "not run", the caller would send the
- * call again under another key, and it would run twice: so the outcome is unknown.
+ * Outcome of a repeat while the first request with its key is running, has run or may have run. After
+ * "not run" the caller could send the request under another key, and it would run twice.
  */
-const unknown = (reason: AgentReason, begin: () => boolean): AttemptOutcome =>
-  begin() ? { outcome: 'unknown', reason } : notRun('cancelled', 0);
+const unknownOutcome = (reason: AgentReason, tryStart: () => boolean): AttemptOutcome =>
+  tryStart() ? { outcome: 'unknown', reason } : notRun('cancelled', 0);
 
-/** Why a call without the right to run did not run. */
-const refusalOf = (
+/** Outcome of a request whose claim was refused. */
+const refusalOutcome = (
   verdict: Exclude<ClaimVerdict, { verdict: 'first' | 'known' | 'held' }>,
-  begin: () => boolean,
+  tryStart: () => boolean,
 ): AttemptOutcome => {
   switch (verdict.verdict) {
     case 'key-reused':
       return notRun('claim-key-reused', 0);
     case 'key-expired':
-      return unknown('claim-key-expired', begin);
+      return unknownOutcome('claim-key-expired', tryStart);
     case 'log-down':
       return notRun('claim-log-down', verdict.retryAfterMs);
     default:
@@ -61,59 +61,63 @@
   }
 };
 
-/** Gives the answer of the earlier call with the same key, if it is still held. */
-const replay = (attempt: Attempt, known: ClaimOutcome, begin: () => boolean): AttemptOutcome => {
-  if (known.body === undefined) return unknown('duplicate-known', begin);
-  if (!begin()) return notRun('cancelled', 0);
-  const headers: Record<string, string> = { ...REPLAYED };
-  if (known.contentType !== undefined) headers['content-type'] = known.contentType;
-  attempt.answer.head(known.status, headers);
-  const body = Buffer.from(known.body, 'base64');
+/** Sends the answer of the earlier request with the same key, if its body was stored. */
+const replay = (
+  attempt: Attempt,
+  claimOutcome: ClaimOutcome,
+  tryStart: () => boolean,
+): AttemptOutcome => {
+  if (claimOutcome.body === undefined) return unknownOutcome('duplicate-known', tryStart);
+  if (!tryStart()) return notRun('cancelled', 0);
+  const headers: Record<string, string> = { ...REPLAY_HEADERS };
+  if (claimOutcome.contentType !== undefined) headers['content-type'] = claimOutcome.contentType;
+  attempt.answer.head(claimOutcome.status, headers);
+  const body = Buffer.from(claimOutcome.body, 'base64');
   if (body.length > 0) void attempt.answer.write(body);
   return { outcome: 'answered' };
 };
 
-const settle = async (
+const closeClaim = async (
   claims: Claims,
   claim: ClaimId,
   { outcome }: AttemptOutcome,
-  answered: ClaimOutcome,
+  answer: ClaimOutcome,
 ): Promise<void> => {
-  // Waited for: a caller that has its whole answer may come again at once, elsewhere. Until the log has the outcome
-  // the repeat is told "unknown"; the end of the answer follows the record, some ms later.
-  if (outcome === 'answered') await claims.finish(claim, answered);
-  // Waited for: the entry may try another upstream, whose claim would find the key still held.
+  // The answer ends only after the log has its outcome, which takes a few ms: a caller may repeat the request elsewhere
+  // as soon as it has the full answer, and until the log has the outcome the repeat ends as "unknown".
+  if (outcome === 'answered') await claims.finish(claim, answer);
+  // Awaited as well: the entry may try another upstream, whose claim would find the key still held.
   else if (outcome === 'not-run') await claims.release(claim);
-  // Nobody can tell whether the call ran: the key stays taken, so that it never runs again.
+  // It is unknown whether the request ran: the key stays claimed, so that it never runs again.
   else claims.abandon(claim);
 };
 
-/** Creates the runner; it takes the claim when the call's turn has come, not while it waits. */
+/** Creates the runner; it claims the key when the request leaves the queue, not while it waits. */
 export const createKeyedRunner = (options: KeyedRunnerOptions) => {
   const { claims, clock } = options;
 
-  const claimFor = (attempt: Attempt, work: Dispatch, { key, bodyHash }: IdempotencyKey) => {
+  const claimKey = (attempt: Attempt, dispatch: Dispatch, { key, bodyHash }: IdempotencyKey) => {
     const waitedMs = clock.monotonic() - attempt.arrivedAt;
-    const budgetMs = Math.max(MIN_CLAIM_MS, work.budgetMs - waitedMs);
-    const callHash = hashOfCall(work, bodyHash);
-    return claims.claim({ organisation: work.organisation, key, bodyHash: callHash, budgetMs });
+    const budgetMs = Math.max(MIN_CLAIM_BUDGET_MS, dispatch.budgetMs - waitedMs);
+    const callHash = hashCall(dispatch, bodyHash);
+    return claims.claim({ organisation: dispatch.organisation, key, bodyHash: callHash, budgetMs });
   };
 
   return async (
     attempt: Attempt,
-    work: Dispatch,
+    dispatch: Dispatch,
     key: IdempotencyKey,
-    begin: () => boolean,
+    tryStart: () => boolean,
   ): Promise<AttemptOutcome> => {
-    const verdict = await claimFor(attempt, work, key);
-    if (verdict.verdict === 'known') return replay(attempt, verdict.outcome, begin);
+    const verdict = await claimKey(attempt, dispatch, key);
+    if (verdict.verdict === 'known') return replay(attempt, verdict.outcome, tryStart);
     if (verdict.verdict === 'held') {
-      return unknown(verdict.runningHere ? 'duplicate-in-progress' : 'claim-lost', begin);
+      return unknownOutcome(verdict.runningHere ? 'duplicate-in-progress' : 'claim-lost', tryStart);
     }
-    if (verdict.verdict !== 'first') return refusalOf(verdict, begin);
+    if (verdict.verdict !== 'first') return refusalOutcome(verdict, tryStart);
     const copy = createAnswerCopy();
-    const outcome = await options.run(attempt, work, begin, copy);
-    await settle(claims, verdict.claim, outcome, copy.outcome());
+    const outcome = await options.run(attempt, dispatch, tryStart, copy);
+    await closeClaim(claims, verdict.claim, outcome, copy.outcome());
     return outcome;
   };
 };
--- a/packages/agent/src/core/attempts/serving.ts
+++ b/packages/agent/src/core/attempts/serving.ts
@@ -1,54 +1,57 @@
-/** The serving side of an agent: its queue, its upstream, the claims on keys, and the attempts. */
+/** The request path of an agent: its queue, its upstream, the claims on keys, and the attempts. */
 
 import type { AgentSettings, Clock, Metrics, Random } from '@plantaindrum/common';
 import type { Dispatch, Link, Load } from '@plantaindrum/link';
 import type { Log } from '@plantaindrum/service-clients';
 import type { AgentQueue, Claims } from '@plantaindrum/requests';
 import { createAgentQueue, createAttemptLedger, createClaims } from '@plantaindrum/requests';
-import { engineBody } from '../upstream/engine-body.js';
+import { encodeEngineBody } from '../upstream/engine-body.js';
 import type { Upstream } from '../upstream/upstream.js';
 import { createUpstream } from '../upstream/upstream.js';
-import type { DeskLimits } from './desk.js';
-import { createAttemptDesk } from './desk.js';
+import type { AttemptLimits } from './attempt-manager.js';
+import { createAttemptManager } from './attempt-manager.js';
 import { runAttempt } from './run-attempt.js';
 import { createKeyedRunner } from './run-keyed.js';
-import type { AttemptDesk, AttemptRunner, QueuedAttempt } from './types.js';
+import type { AttemptManager, AttemptRunner, QueuedAttempt } from './types.js';
 
-/** Longest wait for the ends of keyed calls to reach the log when the agent stops. */
-const CLAIMS_FLUSH_MS = 3_000;
-const UNDELIVERED_FOR_EACH_SLOT = 8;
+/** Maximum wait for the outcomes of keyed requests to reach the log when the agent stops. */
+const CLAIMS_FLUSH_TIMEOUT_MS = 3_000;
+const MAX_UNDELIVERED_PER_SLOT = 8;
 
-const defaultDeskLimits = {
-  rememberMs: 60_000,
-  most: 4_096,
+const defaultAttemptLimits = {
+  retentionMs: 60_000,
+  maxEnded: 4_096,
   graceMs: 5_000,
-  heldBytes: 67_108_864,
+  maxHeldBytes: 67_108_864,
 };
 
-/** What serving needs. */
+/** Options of `createServing`. */
 export interface ServingOptions {
   settings: AgentSettings;
   instance: string;
   platformLog: Log;
-  /** Whether new work of this entry is turned away for now. */
-  isClosedTo: (entry: Link) => boolean;
-  deskLimits?: Partial<DeskLimits>;
+  /** Whether new requests of this entry are currently refused. */
+  refusesEntry: (entry: Link) => boolean;
+  attemptLimits?: Partial<AttemptLimits>;
   clock: Clock;
   random: Random;
   metrics: Metrics;
 }
 
-/** The serving side of an agent. */
+/** The request path of an agent. */
 export interface Serving {
-  desk: AttemptDesk;
+  attemptManager: AttemptManager;
   load(): Load;
-  /** Refuses new work, hands back what hasn't started, and waits for the rest to end. */
+  /** Refuses new requests, returns queued ones as "not run", and waits for the rest to end. */
   drain(): Promise<void>;
   close(): Promise<void>;
 }
 
-/** An engine says so when it is full or not up; a plain service's statuses are its own answers. */
-const ENGINE_REFUSALS = [429, 503];
+/**
+ * Statuses of an engine that is full or not ready. A plain service's statuses are forwarded as its
+ * answers.
+ */
+const ENGINE_REFUSAL_STATUSES = [429, 503];
 
 const createRunner = (
   { settings, clock, metrics }: ServingOptions,
@@ -56,23 +59,31 @@
   queue: AgentQueue<QueuedAttempt>,
   claims: Claims,
 ): AttemptRunner => {
-  const bodyOf = settings.upstream.kind === 'model' ? engineBody : ({ body }: Dispatch) => body;
-  const refusals = settings.upstream.kind === 'model' ? ENGINE_REFUSALS : [];
-  const parts = { upstream, bodyOf, refusals, metrics, onFirstByte: queue.answering };
+  const encodeBody =
+    settings.upstream.kind === 'model' ? encodeEngineBody : ({ body }: Dispatch) => body;
+  const refusalStatuses = settings.upstream.kind === 'model' ? ENGINE_REFUSAL_STATUSES : [];
+  const runOptions = {
+    upstream,
+    encodeBody,
+    refusalStatuses,
+    metrics,
+    onFirstByte: queue.answering,
+  };
   const runKeyed = createKeyedRunner({
     claims,
-    run: (attempt, work, begin, observe) => runAttempt(attempt, work, begin, { ...parts, observe }),
+    run: (attempt, dispatch, tryStart, observe) =>
+      runAttempt(attempt, dispatch, tryStart, { ...runOptions, observe }),
     clock,
   });
-  return (attempt, work, begin) =>
-    work.idempotency
-      ? runKeyed(attempt, work, work.idempotency, begin)
-      : runAttempt(attempt, work, begin, parts);
+  return (attempt, dispatch, tryStart) =>
+    dispatch.idempotency
+      ? runKeyed(attempt, dispatch, dispatch.idempotency, tryStart)
+      : runAttempt(attempt, dispatch, tryStart, runOptions);
 };
 
-/** Creates the serving side of an agent. */
+/** Creates the request path of an agent. */
 export const createServing = (options: ServingOptions): Serving => {
-  const { settings, instance, platformLog, isClosedTo, clock, random, metrics } = options;
+  const { settings, instance, platformLog, refusesEntry, clock, random, metrics } = options;
   const { queue: capacity, concurrency } = settings.limits;
   const upstream = createUpstream(settings.upstream.url);
   const queue = createAgentQueue<QueuedAttempt>({ clock, random, capacity, concurrency });
@@ -82,33 +93,33 @@
     const { queued, running, drainPerSecond, leaving } = queue.load();
     return { queued, running, drainPerSecond, leaving };
   };
-  const desk = createAttemptDesk({
+  const attemptManager = createAttemptManager({
     queue,
-    ledger: createAttemptLedger(),
+    registry: createAttemptLedger(),
     run: createRunner(options, upstream, queue, claims),
     load,
-    isClosedTo,
+    refusesEntry,
     limits: {
-      ...defaultDeskLimits,
+      ...defaultAttemptLimits,
       concurrency,
-      mostUndelivered: concurrency * UNDELIVERED_FOR_EACH_SLOT,
-      ...options.deskLimits,
+      maxUndelivered: concurrency * MAX_UNDELIVERED_PER_SLOT,
+      ...options.attemptLimits,
     },
     clock,
     metrics,
   });
 
   return {
-    desk,
+    attemptManager,
     load,
     drain: async () => {
-      desk.leave();
-      await desk.idle();
-      await claims.flush(CLAIMS_FLUSH_MS);
+      attemptManager.drain();
+      await attemptManager.waitUntilIdle();
+      await claims.flush(CLAIMS_FLUSH_TIMEOUT_MS);
     },
     close: async () => {
       claims.close();
-      desk.close();
+      attemptManager.close();
       await upstream.close();
     },
   };
--- a/packages/agent/src/core/operators/door.ts
+++ b/packages/agent/src/core/operators/operator-server.ts
@@ -1,25 +1,25 @@
-/** The operators' door of an agent, by HTTP: readiness, metrics, status and the intent in force. */
+/** HTTP server of an agent for operators: readiness, metrics, status and the intent in force. */
 
 import { createHash, timingSafeEqual } from 'node:crypto';
 import { createServer } from 'node:http';
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 
-/** What the door shows. */
-export interface OperatorsDoorOptions {
+/** Options of `createOperatorServer`. */
+export interface OperatorServerOptions {
   listen: { host: string; port: number };
   token: string;
-  /** Most open connections. */
+  /** Maximum number of open connections. */
   connections: number;
   ready: () => boolean;
-  /** The Prometheus text. */
+  /** Metrics in the Prometheus text format. */
   metrics: () => string;
   status: () => unknown;
   intent: () => unknown;
 }
 
-/** An open door. */
-export interface OperatorsDoor {
+/** A listening operator server. */
+export interface OperatorServer {
   readonly url: string;
   close(): Promise<void>;
 }
@@ -41,11 +41,13 @@
   res.end(text);
 };
 
-/** Opens the door; rejects when the address can't be listened on. */
-export const openOperatorsDoor = async (options: OperatorsDoorOptions): Promise<OperatorsDoor> => {
+/** Starts the operator server; rejects if it can't listen on the address. */
+export const createOperatorServer = async (
+  options: OperatorServerOptions,
+): Promise<OperatorServer> => {
   const { listen, token, ready } = options;
 
-  const answer = (req: IncomingMessage, res: ServerResponse): void => {
+  const handleRequest = (req: IncomingMessage, res: ServerResponse): void => {
     const { pathname } = new URL(req.url ?? '/', 'http://agent');
     if (req.method !== 'GET') {
       sendJson(res, 405, { error: 'method-not-allowed' });
@@ -65,7 +67,7 @@
     else sendJson(res, 404, { error: 'unknown-path' });
   };
 
-  const server = createServer(answer);
+  const server = createServer(handleRequest);
   server.maxConnections = options.connections;
   await new Promise<void>((resolve, reject) => {
     server.once('error', reject);
--- a/packages/agent/src/core/status.ts
+++ b/packages/agent/src/core/status.ts
@@ -1,45 +1,45 @@
-/** What this agent tells operators. */
+/** Status of an agent, for operators. */
 
 import type { AgentSettings } from '@plantaindrum/common';
 import type { IntentFreshness, IntentReader, NodeDuty } from '@plantaindrum/intent';
 import { nodeDuty } from '@plantaindrum/intent';
 import type { Load } from '@plantaindrum/link';
-import type { AttemptDesk } from './attempts/types.js';
+import type { AttemptManager } from './attempts/types.js';
 
 /** The document of `GET /status`, and of the call `node.status`. */
 export interface AgentStatus {
   node: AgentSettings['node'] & { role: 'agent'; instance: string };
   ready: boolean;
-  /** What the state of its data centre asks of it. */
+  /** What the state of its data centre requires of this agent. */
   duty: NodeDuty;
   upstream: AgentSettings['upstream'];
   /** Requests that are queued or running. */
   inFlight: number;
   load: Load;
-  attempts: ReturnType<AttemptDesk['counts']>;
-  /** Entries that are linked. */
+  attempts: ReturnType<AttemptManager['counts']>;
+  /** Number of connected entries. */
   entries: number;
   intent: { offset: number; freshness: IntentFreshness };
-  /** Its part in its expert group. */
+  /** Status of its membership in its expert group. */
   group?: unknown;
 }
 
-/** What a status is made from. */
+/** Options of `agentStatus`. */
 export interface AgentStatusOptions {
   settings: AgentSettings;
   instance: string;
   ready: () => boolean;
   load: () => Load;
-  desk: AttemptDesk;
+  attemptManager: AttemptManager;
   entries: () => number;
   intent: IntentReader;
   group: () => unknown;
 }
 
-/** Makes the document of `GET /status`. */
+/** Builds the document of `GET /status`. */
 export const agentStatus = (options: AgentStatusOptions): AgentStatus => {
-  const { settings, instance, desk, intent } = options;
-  const attempts = desk.counts();
+  const { settings, instance, attemptManager, intent } = options;
+  const attempts = attemptManager.counts();
   const group = options.group();
   const load = options.load();
   const inFlight = attempts.queued + attempts.running;
--- a/packages/agent/src/core/upstream/headers.ts
+++ b/packages/agent/src/core/upstream/headers.ts
@@ -3,7 +3,7 @@
 const namedByConnection = (connection: string | undefined): Set<string> =>
   new Set((connection ?? '').split(',').map((name) => name.trim().toLowerCase()));
 
-/** The header of a request to the upstream. */
+/** Header fields of a request to the upstream. */
 export const upstreamHeaders = (
   headers: Record<string, string>,
   resumeAfter: string | undefined,
@@ -13,11 +13,11 @@
   );
   const named = namedByConnection(lower.find(([name]) => name === 'connection')?.[1]);
   const kept = lower.filter(([name]) => !isHopByHop(name) && !isSetAnew(name) && !named.has(name));
-  const passed = Object.fromEntries(kept);
-  return resumeAfter === undefined ? passed : { ...passed, 'last-event-id': resumeAfter };
+  const forwarded = Object.fromEntries(kept);
+  return resumeAfter === undefined ? forwarded : { ...forwarded, 'last-event-id': resumeAfter };
 };
 
-/** The header of an upstream's answer as it travels to the entry. */
+/** Header fields of an upstream's answer that are sent to the entry. */
 export const answerHeaders = (
   headers: Record<string, string | string[] | undefined>,
 ): Record<string, string> => {
