--- a/packages/common/src/answer-times.ts
+++ b/packages/common/src/answer-times.ts
@@ -1,55 +1,57 @@
 /**
- * How long to wait for an answer, from how long answers took. The pattern: a limit that was right for
- * twelve servers on wide links fails for two hundred on narrow ones, each time, and what was asked is asked
- * anew for ever; and one that waits on a server with a queue takes it for dead. The rule is that of TCP's
- * retransmission timer (RFC 6298): the usual time and four times its usual deviation.
+ * Call timeouts that adapt to observed response times. A fixed timeout that suits twelve servers on fast links
+ * always fails for two hundred on slow ones, so the same call is repeated for ever, and it takes a server with a
+ * queue for a failed one. As in TCP's retransmission timer (RFC 6298), the timeout is the smoothed response time
+ * plus four times its smoothed deviation.
  */
 
 import { createEstimate } from './estimate.js';
 import type { Estimate } from './estimate.js';
 
-/** Limits by what is asked, in ms. */
+/** Timeouts by kind of call, in ms. */
 export interface AnswerTimes {
-  /** Limit of the next call of this kind. */
+  /** Timeout of the next call of this kind, in ms. */
   limit(kind: string): number;
-  /** An answer that came after this long, or that had not come when it was given up. */
+  /** Records the time of a response, or of a call that was given up without one. */
   note(kind: string, ms: number): void;
-  /** A call to which most of those asked said nothing: the limit is doubled until one is answered. */
+  /** Doubles the timeout until the next recorded time; for a call that most peers did not answer. */
   noteMostSilent(kind: string): void;
 }
 
-/** Bounds of one kind of call, in ms. */
+/** Bounds of the timeout of one kind of call, in ms. */
 export interface AnswerBounds {
-  /** Limit before anything was observed. */
+  /** Timeout before the first observation. */
   first: number;
+  /** Minimum; the backoff may raise the timeout above it. */
   least: number;
+  /** Maximum, which also applies to the backoff. */
   most: number;
 }
 
-const WEIGHTS = { mean: 1 / 8, deviation: 1 / 4, firstDeviation: 1 / 2 };
-const DEVIATIONS = 4;
-const MOST_BACKOFF = 8;
+const EWMA_WEIGHTS = { mean: 1 / 8, deviation: 1 / 4, firstDeviation: 1 / 2 };
+const DEVIATION_FACTOR = 4;
+const MAX_BACKOFF_FACTOR = 8;
 
-/** Creates the record; `bounds` gives each kind's. */
+/** Creates the timeouts; `bounds` returns the bounds of a kind of call. */
 export const createAnswerTimes = (bounds: (kind: string) => AnswerBounds): AnswerTimes => {
-  const seen = new Map<string, Estimate>();
-  const backoff = new Map<string, number>();
+  const estimates = new Map<string, Estimate>();
+  const backoffFactors = new Map<string, number>();
 
   return {
     limit: (kind) => {
       const { first, least, most } = bounds(kind);
-      const times = seen.get(kind)?.usual();
-      const expected = times ? times.mean + DEVIATIONS * times.deviation : first;
-      return Math.min(most, Math.max(least, expected) * (backoff.get(kind) ?? 1));
+      const observed = estimates.get(kind)?.usual();
+      const expected = observed ? observed.mean + DEVIATION_FACTOR * observed.deviation : first;
+      return Math.min(most, Math.max(least, expected) * (backoffFactors.get(kind) ?? 1));
     },
     note: (kind, ms) => {
-      backoff.delete(kind);
-      const times = seen.get(kind) ?? createEstimate(WEIGHTS);
-      seen.set(kind, times);
-      times.note(ms);
+      backoffFactors.delete(kind);
+      const estimate = estimates.get(kind) ?? createEstimate(EWMA_WEIGHTS);
+      estimates.set(kind, estimate);
+      estimate.note(ms);
     },
     noteMostSilent: (kind) => {
-      backoff.set(kind, Math.min(MOST_BACKOFF, 2 * (backoff.get(kind) ?? 1)));
+      backoffFactors.set(kind, Math.min(MAX_BACKOFF_FACTOR, 2 * (backoffFactors.get(kind) ?? 1)));
     },
   };
 };
--- a/packages/common/src/clock.ts
+++ b/packages/common/src/clock.ts
@@ -1,4 +1,4 @@
-/** Time and timers as functions, so that tests drive them by hand. */
+/** Time and timers, injected so that tests can control them. */
 export interface Clock {
   /** Wall-clock time in milliseconds since the Unix epoch. */
   now(): number;
@@ -18,13 +18,13 @@
   },
 };
 
-/** Resolves after `ms` milliseconds of the given clock. */
+/** Resolves once `ms` milliseconds have passed on the given clock. */
 export const sleep = (clock: Clock, ms: number): Promise<void> =>
   new Promise((resolve) => {
     clock.after(ms, resolve);
   });
 
-/** A clock that stands still until `advance` is called. */
+/** A clock whose time changes only when `advance` is called. */
 export interface ManualClock extends Clock {
   /** Moves time forward, running due timers in order, and lets their promises settle. */
   advance(ms: number): Promise<void>;
@@ -33,7 +33,7 @@
 /** Creates a clock for tests, starting at `start` milliseconds. */
 export const createManualClock = (start = 0): ManualClock => {
   let time = start;
-  let serial = 0;
+  let lastId = 0;
   const timers = new Map<number, { due: number; fn: () => void }>();
 
   const nextDue = (limit: number): [number, { due: number; fn: () => void }] | undefined => {
@@ -48,8 +48,8 @@
     now: () => time,
     monotonic: () => time,
     after: (ms, fn) => {
-      serial += 1;
-      const id = serial;
+      lastId += 1;
+      const id = lastId;
       timers.set(id, { due: time + ms, fn });
       return () => timers.delete(id);
     },
--- a/packages/common/src/errors/exit-codes.ts
+++ b/packages/common/src/errors/exit-codes.ts
@@ -5,17 +5,17 @@
   invalid: 1,
   /** The command line is wrong. */
   usage: 2,
-  /** A racing change of intent came first. */
+  /** A concurrent change of the intent was accepted first. */
   conflict: 3,
   /** A change may or may not have been accepted. */
   unknown: 4,
   /** A node does not answer, refuses the token or cannot listen. */
   unreachable: 5,
-  /** `status` found a target that is missed. */
+  /** `status` found a target that is not met. */
   targetMissed: 6,
   /** A broken invariant stopped the process. */
   internal: 70,
-  /** Ended at once by a second signal, with requests in flight. */
+  /** A second signal ended the process at once, with requests still in flight. */
   endedEarly: 130,
 } as const;
 
--- a/packages/common/src/errors/invariant-error.ts
+++ b/packages/common/src/errors/invariant-error.ts
@@ -1,6 +1,6 @@
 import { exitCodes } from './exit-codes.js';
 
-/** A broken invariant: the process must stop, and the message goes to its maintainers. */
+/** Thrown when an invariant is broken, which stops the process; the message is for maintainers. */
 export class InvariantError extends Error {
   override readonly name = 'InvariantError';
 
--- a/packages/common/src/errors/operator-errors.ts
+++ b/packages/common/src/errors/operator-errors.ts
@@ -1,11 +1,11 @@
 import type { CommandErrorEntry, RefusalEntry } from './types.js';
 import { exitCodes } from './exit-codes.js';
 
-/** Refusals at the operators' door. */
+/** Refusals of the operator server. */
 export const operatorRefusals = {
   'operator-unauthorised': {
     title: 'Operator token missing or wrong',
-    message: () => "The operators' door did not accept the token of this request.",
+    message: () => 'The operator server did not accept the token of this request.',
     hint: 'Send "Authorization: Bearer TOKEN" with the operators.token of this node\'s settings.',
     status: 401,
     outcome: 'not-run',
@@ -13,14 +13,14 @@
   'operator-unknown-path': {
     title: 'Nothing is served at this path',
     message: ({ method, path }) =>
-      `The operators' door does not serve ${method ?? ''} ${path ?? 'this path'}.`,
+      `The operator server does not serve ${method ?? ''} ${path ?? 'this path'}.`,
     hint: 'It serves GET /ready, /metrics, /status, /nodes and /intent, and POST /intent.',
     status: 404,
     outcome: 'not-run',
   },
 } as const satisfies Record<string, RefusalEntry>;
 
-const place = (file: string | undefined, line: number | undefined): string =>
+const location = (file: string | undefined, line: number | undefined): string =>
   [file ?? 'the file', ...(line === undefined ? [] : [`line ${line}`])].join(', ');
 
 /** Errors of settings and intent files. */
@@ -33,14 +33,14 @@
   },
   'file-syntax': {
     title: 'Not JSON with comments',
-    message: ({ file, line, detail }) => `${place(file, line)}: ${detail ?? 'syntax error'}.`,
+    message: ({ file, line, detail }) => `${location(file, line)}: ${detail ?? 'syntax error'}.`,
     hint: 'Comments and trailing commas are allowed; keys and strings need double quotes.',
     exitCode: exitCodes.invalid,
   },
   'key-invalid': {
     title: 'Invalid value',
     message: ({ file, line, key, found, expected }) =>
-      `${place(file, line)}: ${key ?? 'a key'} is ${found ?? 'nothing'}, expected ${expected ?? 'another value'}.`,
+      `${location(file, line)}: ${key ?? 'a key'} is ${found ?? 'nothing'}, expected ${expected ?? 'another value'}.`,
     hint: 'Correct the value, then run "plantaindrum check" again.',
     exitCode: exitCodes.invalid,
   },
@@ -78,7 +78,7 @@
   'node-unreachable': {
     title: 'The node cannot be reached',
     message: ({ address, detail }) =>
-      `${address ?? "The operators' door"} does not answer${detail ? `: ${detail}` : ''}.`,
+      `${address ?? 'The operator server'} does not answer${detail ? `: ${detail}` : ''}.`,
     hint: 'Check the address; any entry or agent will do for status, any entry for changes.',
     exitCode: exitCodes.unreachable,
   },
--- a/packages/common/src/errors/plantaindrum-error.ts
+++ b/packages/common/src/errors/plantaindrum-error.ts
@@ -2,12 +2,12 @@
 import { commandErrors, fileErrors } from './operator-errors.js';
 import type { CommandErrorEntry, ErrorData } from './types.js';
 
-const entries = { ...fileErrors, ...commandErrors };
+const catalogue = { ...fileErrors, ...commandErrors };
 
-/** Names of the errors that end a command or the start of a process. */
-export type CommandErrorName = keyof typeof entries;
+/** Names of the errors that abort a command or the start of a process. */
+export type CommandErrorName = keyof typeof catalogue;
 
-/** A user-facing error from the catalogue; it ends a command, never a request. */
+/** A user-facing error from the catalogue. It aborts a command, never a request. */
 export class PlantaindrumError extends Error {
   readonly title: string;
 
@@ -20,7 +20,7 @@
     readonly data: ErrorData = {},
     options?: ErrorOptions,
   ) {
-    const entry: CommandErrorEntry = entries[name];
+    const entry: CommandErrorEntry = catalogue[name];
     super(entry.message(data), options);
     this.title = entry.title;
     this.hint = entry.hint;
--- a/packages/common/src/errors/refusal.ts
+++ b/packages/common/src/errors/refusal.ts
@@ -15,22 +15,22 @@
   ...operatorRefusals,
 };
 
-/** Every reason for which a request can be refused or left without a whole answer. */
+/** Every reason for which a request can be refused or end without a complete response. */
 export type RefusalReason = keyof typeof catalogue;
 
 /** The catalogue of refusals, by reason. */
 export const refusals: Readonly<Record<RefusalReason, RefusalEntry>> = catalogue;
 
-/** Whether a text, for example from a peer of another version, is a reason of the catalogue. */
+/** Whether a string is a reason in the catalogue; peers of another version may send others. */
 export const isRefusalReason = (text: string): text is RefusalReason =>
   Object.hasOwn(catalogue, text);
 
-/** One refusal as it happened. */
+/** One refusal of a request. */
 export interface Refusal {
   reason: RefusalReason;
-  /** Left out, it is the catalogue's; `not-run` needs a proof that nothing ran. */
+  /** Defaults to the outcome in the catalogue; set `not-run` only with proof that nothing ran. */
   outcome?: RefusalOutcome;
-  /** Time after which a repeat makes sense, in milliseconds; default 1000. */
+  /** Delay before a retry, in milliseconds; default 1000. */
   retryAfterMs?: number;
   data?: ErrorData;
 }
@@ -49,8 +49,8 @@
 }
 
 const DEFAULT_RETRY_AFTER_MS = 1_000;
-const STATUS_NOT_RUN = 503;
-const STATUS_UNKNOWN = 502;
+const NOT_RUN_STATUS = 503;
+const UNKNOWN_STATUS = 502;
 
 const outcomeOf = ({ reason, outcome }: Refusal): RefusalOutcome =>
   outcome ?? refusals[reason].outcome;
@@ -59,14 +59,14 @@
   Number.isFinite(retryAfterMs) ? Math.max(0, Math.ceil(retryAfterMs)) : DEFAULT_RETRY_AFTER_MS;
 
 /**
- * HTTP status of a refusal. An outcome other than the catalogue's takes the general status of that
- * outcome, so that a caller who reads only the status never mistakes unknown for not run.
+ * HTTP status of a refusal. If the outcome differs from the catalogue's, the general status of that
+ * outcome is used, so that a caller who reads only the status never takes an unknown outcome for not run.
  */
 export const refusalStatus = (refusal: Refusal): number => {
   const entry = refusals[refusal.reason];
   const outcome = outcomeOf(refusal);
   if (outcome === entry.outcome) return entry.status;
-  return outcome === 'unknown' ? STATUS_UNKNOWN : STATUS_NOT_RUN;
+  return outcome === 'unknown' ? UNKNOWN_STATUS : NOT_RUN_STATUS;
 };
 
 /** The JSON body of a refusal. */
@@ -93,6 +93,6 @@
   'retry-after': String(Math.max(1, Math.ceil(retryAfterMsOf(refusal) / 1_000))),
 });
 
-/** The last event of a stream that cannot be finished (server-sent events). */
+/** The server-sent event that ends a stream which cannot be completed. */
 export const refusalEvent = (refusal: Refusal): string =>
   `event: error\ndata: ${JSON.stringify(refusalBody(refusal))}\n\n`;
--- a/packages/common/src/errors/request-refusals.ts
+++ b/packages/common/src/errors/request-refusals.ts
@@ -1,12 +1,12 @@
 import type { RefusalEntry } from './types.js';
 
-const named = (kind: string, name: string | undefined): string =>
+const quotedName = (kind: string, name: string | undefined): string =>
   name === undefined ? `the ${kind}` : `${kind} "${name}"`;
 
-const inBytes = (limit: number | undefined): string =>
+const limitText = (limit: number | undefined): string =>
   limit === undefined ? '' : ` of ${limit} bytes`;
 
-/** Refusals of a request that its sender has to change before it can succeed. */
+/** Refusals of requests that fail again until their sender changes them. */
 export const requestRefusals = {
   'bad-request': {
     title: 'Malformed request',
@@ -48,14 +48,14 @@
   },
   'body-too-large': {
     title: 'Request body too large',
-    message: ({ limit }) => `The body is larger than the limit${inBytes(limit)}.`,
+    message: ({ limit }) => `The body is larger than the limit${limitText(limit)}.`,
     hint: 'Send a shorter prompt, or have operators raise limits.bodyBytes on every entry.',
     status: 413,
     outcome: 'not-run',
   },
   'header-too-large': {
     title: 'Request header too large',
-    message: ({ limit }) => `The header is larger than the limit${inBytes(limit)}.`,
+    message: ({ limit }) => `The header is larger than the limit${limitText(limit)}.`,
     hint: 'Send fewer or shorter header fields.',
     status: 431,
     outcome: 'not-run',
@@ -70,13 +70,13 @@
 } as const satisfies Record<string, RefusalEntry>;
 
 /**
- * Repeats of a call with the same idempotency key. The repeat itself is not run, but the call that it
- * stands for may have been, and that is what its sender asks: so the outcome is unknown.
+ * Refusals of a repeated call with the same idempotency key. The repeat itself is not run, but the original
+ * call may have been. The sender needs the outcome of the original, so `unknown` is reported.
  */
 export const repeatRefusals = {
   'claim-key-expired': {
     title: 'Idempotency key too old',
-    message: () => 'The key has outlived the time for which its use is remembered.',
+    message: () => 'The key is older than the time for which records of keys are kept.',
     hint: 'Find out from the called service what became of the call, then use a new key.',
     status: 409,
     outcome: 'unknown',
@@ -104,11 +104,11 @@
   },
 } as const satisfies Record<string, RefusalEntry>;
 
-/** Refusals for want of capacity or readiness; the same request may succeed later. */
+/** Refusals for lack of capacity or readiness; the same request may succeed later. */
 export const capacityRefusals = {
   'too-many-connections': {
     title: 'Too many connections',
-    message: ({ limit }) => `This door already holds ${limit ?? 'its most'} connections.`,
+    message: ({ limit }) => `This node already holds ${limit ?? 'its limit of'} connections.`,
     hint: 'Reuse connections; operators can raise limits.connections or add entry VMs.',
     status: 503,
     outcome: 'not-run',
@@ -122,7 +122,7 @@
   },
   'data-centre-stopping': {
     title: 'This data centre is stopping',
-    message: ({ dataCentre }) => `Operators are stopping ${named('data centre', dataCentre)}.`,
+    message: ({ dataCentre }) => `Operators are stopping ${quotedName('data centre', dataCentre)}.`,
     hint: 'Connect again; the balancer in front leads to another data centre.',
     status: 503,
     outcome: 'not-run',
@@ -137,49 +137,53 @@
   },
   'queue-full': {
     title: 'Queue full',
-    message: ({ upstream }) => `The queue of ${named('upstream', upstream)} is full.`,
+    message: ({ upstream }) => `The queue of ${quotedName('upstream', upstream)} is full.`,
     hint: 'Come back after Retry-After, which follows from the measured drain rate.',
     status: 429,
     outcome: 'not-run',
   },
   displaced: {
     title: 'Displaced by more urgent work',
-    message: ({ class: name }) => `More urgent work took the place of ${named('class', name)}.`,
+    message: ({ class: name }) =>
+      `More urgent work took the place of ${quotedName('class', name)}.`,
     hint: 'Come back after Retry-After, or have operators review the priority of the class.',
     status: 429,
     outcome: 'not-run',
   },
   'deadline-unreachable': {
     title: 'The target of the class cannot be met',
-    message: ({ class: name }) => `At today's rate ${named('class', name)} would be answered late.`,
+    message: ({ class: name }) =>
+      `At the current rate ${quotedName('class', name)} would be answered late.`,
     hint: 'Come back after Retry-After; operators can add upstreams or relax the target.',
     status: 429,
     outcome: 'not-run',
   },
   'deadline-passed': {
     title: 'The target passed while the request waited',
-    message: ({ class: name }) => `The latest answer of ${named('class', name)} has passed.`,
+    message: ({ class: name }) => `The latest answer of ${quotedName('class', name)} has passed.`,
     hint: 'Send it again if the answer is still of use.',
     status: 503,
     outcome: 'not-run',
   },
   leaving: {
     title: 'The upstream is leaving',
-    message: ({ upstream }) => `The chosen VM for ${named('upstream', upstream)} is leaving.`,
+    message: ({ upstream }) => `The chosen VM for ${quotedName('upstream', upstream)} is leaving.`,
     hint: 'Come back after Retry-After; other upstreams take the work.',
     status: 503,
     outcome: 'not-run',
   },
   'upstream-unreachable': {
     title: 'The upstream could not be reached',
-    message: ({ upstream }) => `No connection to ${named('upstream', upstream)} could be made.`,
+    message: ({ upstream }) =>
+      `No connection to ${quotedName('upstream', upstream)} could be made.`,
     hint: 'Come back after Retry-After; operators should look at the VM.',
     status: 503,
     outcome: 'not-run',
   },
   'never-arrived': {
     title: 'The request did not reach its upstream',
-    message: ({ upstream }) => `The agent of ${named('upstream', upstream)} never received it.`,
+    message: ({ upstream }) =>
+      `The agent of ${quotedName('upstream', upstream)} never received it.`,
     hint: 'Come back after Retry-After; the link broke before the request arrived.',
     status: 503,
     outcome: 'not-run',
@@ -200,26 +204,28 @@
   },
 } as const satisfies Record<string, RefusalEntry>;
 
-/** Endings of a request that may have run and has no whole answer. */
+/** Refusals of requests that may have run but have no complete response. */
 export const unknownRefusals = {
   'link-lost': {
     title: 'The link to the upstream was lost',
     message: ({ upstream }) =>
-      `The link to ${named('upstream', upstream)} ended before the answer.`,
+      `The link to ${quotedName('upstream', upstream)} ended before the answer.`,
     hint: 'Repeat the request only if that does no harm, or with its idempotency key.',
     status: 502,
     outcome: 'unknown',
   },
   'agent-restarted': {
     title: 'The process beside the upstream restarted',
-    message: ({ upstream }) => `The agent of ${named('upstream', upstream)} lost its memory.`,
+    message: ({ upstream }) =>
+      `The agent of ${quotedName('upstream', upstream)} restarted and lost its records.`,
     hint: 'Repeat the request only if that does no harm, or with its idempotency key.',
     status: 502,
     outcome: 'unknown',
   },
   'outcome-forgotten': {
     title: 'The outcome is no longer known',
-    message: ({ upstream }) => `The agent of ${named('upstream', upstream)} no longer holds it.`,
+    message: ({ upstream }) =>
+      `The agent of ${quotedName('upstream', upstream)} no longer holds it.`,
     hint: 'Repeat the request only if that does no harm, or with its idempotency key.',
     status: 502,
     outcome: 'unknown',
@@ -227,14 +233,14 @@
   'upstream-refused': {
     title: 'The upstream refused the request',
     message: ({ upstream }) =>
-      `${named('upstream', upstream)} answered that it can't serve it now.`,
+      `${quotedName('upstream', upstream)} answered that it can't serve it now.`,
     hint: 'Come back after Retry-After; operators should look at the engine.',
     status: 502,
     outcome: 'unknown',
   },
   'upstream-broke-off': {
     title: 'The upstream broke off its answer',
-    message: ({ upstream }) => `The answer of ${named('upstream', upstream)} ended too early.`,
+    message: ({ upstream }) => `The answer of ${quotedName('upstream', upstream)} ended too early.`,
     hint: 'Discard the part that arrived; repeat the request only if that does no harm.',
     status: 502,
     outcome: 'unknown',
@@ -242,14 +248,14 @@
   'answer-timeout': {
     title: 'No answer in time',
     message: ({ class: name }) =>
-      `Work of ${named('class', name)} started but did not end in time.`,
+      `Work of ${quotedName('class', name)} started but did not end in time.`,
     hint: 'Repeat the request only if that does no harm, or with its idempotency key.',
     status: 504,
     outcome: 'unknown',
   },
   cancelled: {
     title: 'Cancelled',
-    message: () => 'The caller closed the connection before the answer was whole.',
+    message: () => 'The caller closed the connection before the answer was complete.',
     hint: 'Nothing to do when the caller meant it; otherwise raise the timeout of the client.',
     status: 502,
     outcome: 'unknown',
--- a/packages/common/src/errors/types.ts
+++ b/packages/common/src/errors/types.ts
@@ -1,18 +1,18 @@
-/** What became of a request that has no whole answer. */
+/** Outcome of a request without a complete response. */
 export type RefusalOutcome = 'not-run' | 'unknown';
 
-/** Facts that a message may name; each is left out when it is not known. */
+/** Values that a message may contain; unknown ones are omitted. */
 export interface ErrorData {
   /** Class of work. */
   class?: string;
-  /** Model or plain service that was asked for. */
+  /** Requested model or plain service. */
   upstream?: string;
   dataCentre?: string;
   method?: string;
   path?: string;
   /** The limit that was exceeded, in the unit that the message names. */
   limit?: number;
-  /** What is wrong, in a few words, for example a parser's message. */
+  /** Short description of the fault, for example a parser's message. */
   detail?: string;
   file?: string;
   line?: number;
@@ -21,29 +21,29 @@
   expected?: string;
   /** Address that could not be reached. */
   address?: string;
-  /** Id of a change of intent, to ask again by. */
+  /** Id of a change of the intent, used to apply it again. */
   id?: string;
 }
 
 /** One user-facing error. */
 export interface ErrorEntry {
-  /** Short and fixed; the same for every occurrence. */
+  /** Short and fixed: the same for every occurrence. */
   title: string;
-  /** One sentence that names what was found. */
+  /** One sentence that describes this occurrence. */
   message: (data: ErrorData) => string;
   /** What the reader can do about it. */
   hint: string;
 }
 
-/** An error that answers a request. */
+/** An error that is sent as the response to a request. */
 export interface RefusalEntry extends ErrorEntry {
-  /** HTTP status of the answer. */
+  /** HTTP status of the response. */
   status: number;
-  /** The outcome where the place that refuses names no other. */
+  /** Outcome unless the refusal sets another. */
   outcome: RefusalOutcome;
 }
 
-/** An error that ends a command or the start of a process. */
+/** An error that aborts a command or the start of a process. */
 export interface CommandErrorEntry extends ErrorEntry {
   exitCode: number;
 }
--- a/packages/common/src/estimate.ts
+++ b/packages/common/src/estimate.ts
@@ -1,40 +1,42 @@
-/** What a quantity usually is, and how far it usually lies from that. */
+/** Moving averages (EWMA) of a quantity and of its absolute deviation. */
 export interface Usual {
   mean: number;
   deviation: number;
 }
 
-/** Mean and deviation of what was observed, with more weight on what came last. */
+/** Exponentially weighted moving average of a quantity and of its deviation. */
 export interface Estimate {
+  /** Adds an observation. */
   note(value: number): void;
-  /** Undefined before anything was observed. */
+  /** The current averages; undefined before the first observation. */
   usual(): Usual | undefined;
 }
 
-/** How an estimate follows what is observed. */
+/** How quickly an estimate follows its observations. */
 export interface EstimateWeights {
-  /** Weight of the last observation in the mean, and of its distance in the deviation. */
+  /** Weight of a new observation in the mean. */
   mean: number;
+  /** Weight of a new observation's distance from the mean in the deviation. */
   deviation: number;
-  /** Deviation that the first observation is given, as a share of it. */
+  /** Deviation after the first observation, as a fraction of its value. */
   firstDeviation: number;
 }
 
-/** Creates an estimate that has observed nothing. */
+/** Creates an estimate without observations. */
 export const createEstimate = (weights: EstimateWeights): Estimate => {
-  let usual: Usual | undefined;
+  let averages: Usual | undefined;
   return {
     note: (value) => {
-      if (!usual) {
-        usual = { mean: value, deviation: value * weights.firstDeviation };
+      if (!averages) {
+        averages = { mean: value, deviation: value * weights.firstDeviation };
         return;
       }
-      const { mean, deviation } = usual;
-      usual = {
+      const { mean, deviation } = averages;
+      averages = {
         mean: mean + (value - mean) * weights.mean,
         deviation: deviation + (Math.abs(value - mean) - deviation) * weights.deviation,
       };
     },
-    usual: () => usual,
+    usual: () => averages,
   };
 };
--- a/packages/common/src/exposition.ts
+++ b/packages/common/src/exposition.ts
@@ -4,7 +4,7 @@
 
 type FamilyType = 'counter' | 'gauge' | 'summary';
 
-/** All series of one name; the format wants them together, after their HELP and TYPE lines. */
+/** All series of one name; the format requires them together, after their HELP and TYPE lines. */
 interface Family {
   type: FamilyType;
   help: string;
@@ -18,24 +18,24 @@
 
 const escapeLabel = (value: string): string => escapeHelp(value).replaceAll('"', '\\"');
 
-/** A series as the format writes it, labels in order; also serves as its key. */
-export const seriesText = (name: string, labels: Labels): string => {
-  const inner = sortedLabels(labels).map(([key, value]) => `${key}="${escapeLabel(value)}"`);
-  return inner.length > 0 ? `${name}{${inner.join(',')}}` : name;
+/** Formats a series with its labels sorted by name; the text also serves as the key of the series. */
+export const formatSeries = (name: string, labels: Labels): string => {
+  const pairs = sortedLabels(labels).map(([key, value]) => `${key}="${escapeLabel(value)}"`);
+  return pairs.length > 0 ? `${name}{${pairs.join(',')}}` : name;
 };
 
-const summaryLines = (name: string, labels: Labels, summary: HistogramSummary): string[] => [
-  `${seriesText(name, { ...labels, quantile: '0.5' })} ${summary.p50}`,
-  `${seriesText(name, { ...labels, quantile: '0.95' })} ${summary.p95}`,
-  `${seriesText(name, { ...labels, quantile: '0.99' })} ${summary.p99}`,
-  `${seriesText(`${name}_sum`, labels)} ${summary.sum}`,
-  `${seriesText(`${name}_count`, labels)} ${summary.count}`,
+const formatSummary = (name: string, labels: Labels, summary: HistogramSummary): string[] => [
+  `${formatSeries(name, { ...labels, quantile: '0.5' })} ${summary.p50}`,
+  `${formatSeries(name, { ...labels, quantile: '0.95' })} ${summary.p95}`,
+  `${formatSeries(name, { ...labels, quantile: '0.99' })} ${summary.p99}`,
+  `${formatSeries(`${name}_sum`, labels)} ${summary.sum}`,
+  `${formatSeries(`${name}_count`, labels)} ${summary.count}`,
 ];
 
-const familyText = ([name, { type, help, lines }]: [string, Family]): string =>
+const formatFamily = ([name, { type, help, lines }]: [string, Family]): string =>
   [`# HELP ${name} ${escapeHelp(help)}`, `# TYPE ${name} ${type}`, ...lines].join('\n');
 
-/** A snapshot in the Prometheus text exposition format, version 0.0.4. */
+/** Formats a snapshot in the Prometheus text exposition format, version 0.0.4. */
 export const formatExposition = (
   snapshot: MetricsSnapshot,
   help: Readonly<Record<string, string>>,
@@ -50,16 +50,16 @@
 
   snapshot.counters.forEach(({ name, labels, value }) => {
     const fullName = `${PREFIX}${name}_total`;
-    add('counter', name, fullName, [`${seriesText(fullName, labels)} ${value}`]);
+    add('counter', name, fullName, [`${formatSeries(fullName, labels)} ${value}`]);
   });
   snapshot.gauges.forEach(({ name, labels, value }) => {
     const fullName = `${PREFIX}${name}`;
-    add('gauge', name, fullName, [`${seriesText(fullName, labels)} ${value}`]);
+    add('gauge', name, fullName, [`${formatSeries(fullName, labels)} ${value}`]);
   });
   snapshot.histograms.forEach(({ name, labels, summary }) => {
     const fullName = `${PREFIX}${name}`;
-    add('summary', name, fullName, summaryLines(fullName, labels, summary));
+    add('summary', name, fullName, formatSummary(fullName, labels, summary));
   });
 
-  return [...families].map((family) => `${familyText(family)}\n`).join('\n');
+  return [...families].map((family) => `${formatFamily(family)}\n`).join('\n');
 };
--- a/packages/common/src/http-fields.ts
+++ b/packages/common/src/http-fields.ts
@@ -1,5 +1,5 @@
-/** Header fields that belong to one connection and are not passed on (RFC 9110, 7.6.1). */
-const HOP_BY_HOP = new Set([
+/** Header fields that apply to one connection and are not forwarded (RFC 9110, 7.6.1). */
+const HOP_BY_HOP_FIELDS = new Set([
   'connection',
   'keep-alive',
   'proxy-authenticate',
@@ -11,11 +11,11 @@
   'upgrade',
 ]);
 
-/** Fields that each HTTP client sets anew for its own connection. */
-const SET_ANEW = new Set(['host', 'content-length', 'expect']);
+/** Fields that an HTTP client sets itself on each connection. */
+const CLIENT_MANAGED_FIELDS = new Set(['host', 'content-length', 'expect']);
 
-/** Whether a header field, by its name in lower case, ends at each hop. */
-export const isHopByHop = (name: string): boolean => HOP_BY_HOP.has(name);
+/** Whether a header field (name in lower case) applies to a single hop. */
+export const isHopByHop = (name: string): boolean => HOP_BY_HOP_FIELDS.has(name);
 
-/** Whether a header field of a request is left to the client that sends it on. */
-export const isSetAnew = (name: string): boolean => SET_ANEW.has(name);
+/** Whether a request's header field (name in lower case) is set by the client that forwards it. */
+export const isSetAnew = (name: string): boolean => CLIENT_MANAGED_FIELDS.has(name);
--- a/packages/common/src/in-turns.ts
+++ b/packages/common/src/in-turns.ts
@@ -1,12 +1,12 @@
-/** Runs work on all items, at most this many at once; rejects with the first that does. */
+/** Runs `run` for each item, at most `concurrency` at a time; rejects with the first rejection. */
 export const inTurns = async <T>(
   items: readonly T[],
-  atOnce: number,
-  work: (item: T) => Promise<void>,
+  concurrency: number,
+  run: (item: T) => Promise<void>,
 ): Promise<void> => {
-  const rest = [...items];
-  const next = async (): Promise<void> => {
-    for (let item = rest.shift(); item !== undefined; item = rest.shift()) await work(item);
+  const queue = [...items];
+  const runWorker = async (): Promise<void> => {
+    for (let item = queue.shift(); item !== undefined; item = queue.shift()) await run(item);
   };
-  await Promise.all(Array.from({ length: atOnce }, next));
+  await Promise.all(Array.from({ length: concurrency }, runWorker));
 };
--- a/packages/common/src/json-bytes.ts
+++ b/packages/common/src/json-bytes.ts
@@ -1,10 +1,10 @@
 const encoder = new TextEncoder();
 const decoder = new TextDecoder();
 
-/** A value as JSON in bytes. */
+/** Encodes a value as JSON in UTF-8. */
 export const encodeJson = (value: unknown): Uint8Array => encoder.encode(JSON.stringify(value));
 
-/** Reads JSON; undefined when the bytes are none. */
+/** Decodes JSON in UTF-8; undefined if the bytes are not valid JSON. */
 export const decodeJson = (bytes: Uint8Array): unknown => {
   try {
     return JSON.parse(decoder.decode(bytes));
--- a/packages/common/src/logger.ts
+++ b/packages/common/src/logger.ts
@@ -1,12 +1,12 @@
 import { createConsola } from 'consola';
 
-/** A labelled logger; it is passed in, never global. */
+/** A logger with a label; it is passed as a dependency, never global. */
 export interface Logger {
   debug(message: string): void;
   info(message: string): void;
   warn(message: string): void;
   error(message: string): void;
-  /** A logger whose lines carry one more label. */
+  /** Returns a logger with a further label. */
   child(label: string): Logger;
 }
 
@@ -24,7 +24,7 @@
   };
 };
 
-/** A logger that writes nothing. */
+/** A logger that discards every message. */
 export const silentLogger: Logger = {
   debug: () => {},
   info: () => {},
--- a/packages/common/src/metrics-snapshot.ts
+++ b/packages/common/src/metrics-snapshot.ts
@@ -1,10 +1,10 @@
 /** Labels of one series, for example `{ reason: 'queue-full' }`. */
 export type Labels = Readonly<Record<string, string>>;
 
-/** Percentiles of one histogram, in the unit that its name ends with. */
+/** Summary of one histogram, in the unit that its name ends with. */
 export interface HistogramSummary {
   count: number;
-  /** Exact sum of all values recorded. */
+  /** Exact sum of all recorded values. */
   sum: number;
   mean: number;
   p50: number;
@@ -13,7 +13,7 @@
   max: number;
 }
 
-/** Everything a registry holds, for `status` and the Prometheus endpoint. */
+/** All series of a registry, for `status` and the Prometheus endpoint. */
 export interface MetricsSnapshot {
   counters: { name: string; labels: Labels; value: number }[];
   gauges: { name: string; labels: Labels; value: number }[];
--- a/packages/common/src/metrics.ts
+++ b/packages/common/src/metrics.ts
@@ -1,6 +1,6 @@
 import { build } from 'hdr-histogram-js';
 import type { Histogram } from 'hdr-histogram-js';
-import { formatExposition, seriesText } from './exposition.js';
+import { formatExposition, formatSeries } from './exposition.js';
 import { metricHelp } from './metric-help.js';
 import type { HistogramSummary, Labels, MetricsSnapshot } from './metrics-snapshot.js';
 
@@ -8,7 +8,7 @@
 export interface Metrics {
   count(name: string, labels?: Labels, by?: number): void;
   gauge(name: string, value: number, labels?: Labels): void;
-  /** Records a whole-number value, for example milliseconds or microseconds. */
+  /** Records a value in a histogram, rounded to an integer, for example of milliseconds. */
   record(name: string, value: number, labels?: Labels): void;
   counter(name: string, labels?: Labels): number;
   snapshot(): MetricsSnapshot;
@@ -22,16 +22,16 @@
   value: T;
 }
 
-/** A histogram and the exact sum of its values, which buckets can't give. */
-interface Recording {
+/** A histogram and the exact sum of its values, which its buckets can't provide. */
+interface HistogramData {
   histogram: Histogram;
   sum: number;
 }
 
-/** An hour in microseconds; a larger value is recorded as this. */
-const HIGHEST_VALUE = 3_600_000_000;
+/** Largest recorded value, an hour in microseconds; larger values are recorded as this one. */
+const MAX_VALUE = 3_600_000_000;
 
-const summarize = ({ histogram, sum }: Recording): HistogramSummary => ({
+const summarize = ({ histogram, sum }: HistogramData): HistogramSummary => ({
   count: histogram.totalCount,
   sum,
   mean: histogram.totalCount > 0 ? sum / histogram.totalCount : 0,
@@ -41,8 +41,8 @@
   max: histogram.maxValue,
 });
 
-/** Grows with its values: with a series for each organisation, fixed buckets cost 14 kB each. */
-const createRecording = (): Recording => ({
+/** The histogram resizes itself: fixed buckets would cost 14 kB for each series, and there is one per organisation. */
+const createHistogramData = (): HistogramData => ({
   histogram: build({ autoResize: true, bitBucketSize: 32, numberOfSignificantValueDigits: 2 }),
   sum: 0,
 });
@@ -51,15 +51,20 @@
 export const createMetrics = (): Metrics => {
   const counters = new Map<string, Series<number>>();
   const gauges = new Map<string, Series<number>>();
-  const histograms = new Map<string, Series<Recording>>();
+  const histograms = new Map<string, Series<HistogramData>>();
 
-  const slot = <T>(map: Map<string, Series<T>>, name: string, labels: Labels, make: () => T) => {
-    const key = seriesText(name, labels);
-    const found = map.get(key);
-    if (found) return found;
-    const made = { name, labels, value: make() };
-    map.set(key, made);
-    return made;
+  const getOrCreateSeries = <T>(
+    map: Map<string, Series<T>>,
+    name: string,
+    labels: Labels,
+    create: () => T,
+  ) => {
+    const key = formatSeries(name, labels);
+    const existing = map.get(key);
+    if (existing) return existing;
+    const created = { name, labels, value: create() };
+    map.set(key, created);
+    return created;
   };
 
   const snapshot = (): MetricsSnapshot => ({
@@ -74,18 +79,18 @@
 
   return {
     count: (name, labels = {}, by = 1) => {
-      slot(counters, name, labels, () => 0).value += by;
+      getOrCreateSeries(counters, name, labels, () => 0).value += by;
     },
     gauge: (name, value, labels = {}) => {
-      slot(gauges, name, labels, () => 0).value = value;
+      getOrCreateSeries(gauges, name, labels, () => 0).value = value;
     },
     record: (name, value, labels = {}) => {
-      const whole = Math.min(HIGHEST_VALUE, Math.max(0, Math.round(value)));
-      const recording = slot(histograms, name, labels, createRecording).value;
-      recording.histogram.recordValue(whole);
-      recording.sum += whole;
+      const clamped = Math.min(MAX_VALUE, Math.max(0, Math.round(value)));
+      const data = getOrCreateSeries(histograms, name, labels, createHistogramData).value;
+      data.histogram.recordValue(clamped);
+      data.sum += clamped;
     },
-    counter: (name, labels = {}) => counters.get(seriesText(name, labels))?.value ?? 0,
+    counter: (name, labels = {}) => counters.get(formatSeries(name, labels))?.value ?? 0,
     snapshot,
     exposition: () => formatExposition(snapshot(), metricHelp),
   };
--- a/packages/common/src/pause.ts
+++ b/packages/common/src/pause.ts
@@ -1,10 +1,10 @@
 import type { Clock } from './clock.js';
 
-/** The pause of one task between two rounds; another task may end it early. */
+/** An interruptible sleep of one task, for example between two polls. */
 export interface Pause {
   /** Resolves after `ms` milliseconds of the clock, or when `end` is called. */
   wait(ms: number): Promise<void>;
-  /** Ends the wait that is under way, if there is one. */
+  /** Ends the current wait early, if there is one. */
   end(): void;
 }
 
--- a/packages/common/src/random.ts
+++ b/packages/common/src/random.ts
@@ -4,7 +4,7 @@
 /** The random source of this process. */
 export const systemRandom: Random = Math.random;
 
-/** A reproducible source (mulberry32), for tests and experiments. */
+/** Creates a reproducible source (mulberry32), for tests and experiments. */
 export const createSeededRandom = (seed: number): Random => {
   let state = Math.trunc(seed);
   return () => {
--- a/packages/common/src/schema-text.ts
+++ b/packages/common/src/schema-text.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod';
 
-/** The part of a JSON schema that messages and tables are made from. */
+/** The parts of a JSON schema that messages and tables use. */
 interface SchemaNode {
   type?: string;
   description?: string;
@@ -19,29 +19,31 @@
   items?: SchemaNode;
 }
 
-/** One key of a schema, for the operators' page. */
+/** One key of a settings schema, for the operator documentation. */
 export interface KeyDescription {
-  /** Dotted key; `*` stands for a name that operators choose. */
+  /** Dotted key; `*` stands for a name chosen by operators. */
   key: string;
   expected: string;
-  /** The default as JSON; absent when there is none. */
+  /** The default as JSON; omitted if there is none. */
   standard?: string;
   required: boolean;
   description: string;
 }
 
-const toNode = (schema: z.ZodType): SchemaNode =>
+const toJsonSchema = (schema: z.ZodType): SchemaNode =>
   z.toJSONSchema(schema, { io: 'input' }) as SchemaNode;
 
-const list = (names: string[]): string => names.join(', ');
+const join = (names: string[]): string => names.join(', ');
 
 const rangeText = (node: SchemaNode): string => {
-  const lowest = node.minimum ?? node.exclusiveMinimum;
-  const above = node.minimum === undefined ? 'above' : 'at least';
-  const bounded = node.maximum !== undefined && node.maximum < Number.MAX_SAFE_INTEGER;
-  if (lowest !== undefined && bounded) return ` from ${lowest} to ${node.maximum}`;
-  if (bounded) return ` of at most ${node.maximum}`;
-  return lowest === undefined || lowest <= Number.MIN_SAFE_INTEGER ? '' : ` ${above} ${lowest}`;
+  const minimum = node.minimum ?? node.exclusiveMinimum;
+  const comparison = node.minimum === undefined ? 'above' : 'at least';
+  const hasMaximum = node.maximum !== undefined && node.maximum < Number.MAX_SAFE_INTEGER;
+  if (minimum !== undefined && hasMaximum) return ` from ${minimum} to ${node.maximum}`;
+  if (hasMaximum) return ` of at most ${node.maximum}`;
+  return minimum === undefined || minimum <= Number.MIN_SAFE_INTEGER
+    ? ''
+    : ` ${comparison} ${minimum}`;
 };
 
 const stringText = (node: SchemaNode): string => {
@@ -54,11 +56,11 @@
 
 const objectText = (node: SchemaNode): string => {
   if (node.properties === undefined) return 'an object';
-  return `an object with ${list(Object.keys(node.properties))}`;
+  return `an object with ${join(Object.keys(node.properties))}`;
 };
 
 const typeText = (node: SchemaNode): string => {
-  if (node.enum !== undefined) return `one of ${list(node.enum.map((it) => JSON.stringify(it)))}`;
+  if (node.enum !== undefined) return `one of ${join(node.enum.map((it) => JSON.stringify(it)))}`;
   if (node.type === 'integer') return `a whole number${rangeText(node)}`;
   if (node.type === 'number') return `a number${rangeText(node)}`;
   if (node.type === 'boolean') return 'true or false';
@@ -67,15 +69,17 @@
   return objectText(node);
 };
 
-const standardOf = (node: SchemaNode): string | undefined =>
+const defaultTextOf = (node: SchemaNode): string | undefined =>
   node.default === undefined || node.type === 'object' ? undefined : JSON.stringify(node.default);
 
-const withUnit = (node: SchemaNode): string =>
+const typeAndUnit = (node: SchemaNode): string =>
   node.unit === undefined ? typeText(node) : `${typeText(node)} (${node.unit})`;
 
-const expectedOf = (node: SchemaNode): string => {
-  const standard = standardOf(node);
-  return standard === undefined ? withUnit(node) : `${withUnit(node)}, default ${standard}`;
+const expectation = (node: SchemaNode): string => {
+  const defaultText = defaultTextOf(node);
+  return defaultText === undefined
+    ? typeAndUnit(node)
+    : `${typeAndUnit(node)}, default ${defaultText}`;
 };
 
 const childOf = (node: SchemaNode | undefined, key: string | number): SchemaNode | undefined => {
@@ -85,13 +89,13 @@
   return typeof node?.additionalProperties === 'object' ? node.additionalProperties : undefined;
 };
 
-/** What a schema expects at a path: type, range, unit and default; undefined off the schema. */
+/** Type, range, unit and default that a schema expects at a path; undefined for unknown paths. */
 export const expectedAt = (schema: z.ZodType, path: (string | number)[]): string | undefined => {
-  const node = path.reduce<SchemaNode | undefined>(childOf, toNode(schema));
-  return node && expectedOf(node);
+  const node = path.reduce<SchemaNode | undefined>(childOf, toJsonSchema(schema));
+  return node && expectation(node);
 };
 
-/** The named children of an object, and `*` for names that operators choose. */
+/** The named children of an object, and `*` for names chosen by operators, each with whether it is required. */
 const childrenOf = (node: SchemaNode): [string, SchemaNode, boolean][] => {
   const named = Object.entries(node.properties ?? {}).map(
     ([name, child]): [string, SchemaNode, boolean] => [
@@ -100,16 +104,16 @@
       node.required?.includes(name) ?? false,
     ],
   );
-  const chosen = node.additionalProperties;
-  return typeof chosen === 'object' ? [...named, ['*', chosen, false]] : named;
+  const additional = node.additionalProperties;
+  return typeof additional === 'object' ? [...named, ['*', additional, false]] : named;
 };
 
 const describeLeaf = (key: string, node: SchemaNode, required: boolean): KeyDescription => {
-  const standard = standardOf(node);
+  const defaultText = defaultTextOf(node);
   return {
     key,
-    expected: withUnit(node),
-    ...(standard === undefined ? {} : { standard }),
+    expected: typeAndUnit(node),
+    ...(defaultText === undefined ? {} : { standard: defaultText }),
     required,
     description: node.description ?? '',
   };
@@ -122,6 +126,6 @@
       : [describeLeaf(`${prefix}${name}`, child, required)],
   );
 
-/** Every key of a schema, in its order. */
+/** Describes every key of a schema, in the schema's order. */
 export const describeKeys = (schema: z.ZodType): KeyDescription[] =>
-  describeNode(toNode(schema), '');
+  describeNode(toJsonSchema(schema), '');
--- a/packages/common/src/settings-file.ts
+++ b/packages/common/src/settings-file.ts
@@ -11,11 +11,11 @@
 export interface SettingsFault {
   /** Dotted key, for example `callers.port`. */
   key: string;
-  /** What stands there, as JSON; `nothing` when the key is missing. */
+  /** The value found, as JSON; `nothing` if the key is missing. */
   found: string;
   /** Type, range, unit and default of the key. */
   expected: string;
-  /** Line in the file, from 1. */
+  /** Line number in the file, starting at 1. */
   line: number;
 }
 
@@ -26,10 +26,10 @@
 
 const lineAt = (text: string, offset: number): number => text.slice(0, offset).split('\n').length;
 
-const foundAt = (value: unknown): string =>
+const foundText = (value: unknown): string =>
   value === undefined ? 'nothing' : JSON.stringify(value);
 
-const nodeOffset = (text: string, path: Path): number => {
+const offsetOf = (text: string, path: Path): number => {
   const tree = parseTree(text);
   for (let length = path.length; tree && length >= 0; length -= 1) {
     const found = findNodeAtLocation(tree, path.slice(0, length))?.offset;
@@ -38,7 +38,7 @@
   return 0;
 };
 
-const valueAt = (document: unknown, path: Path): unknown =>
+const getValueAt = (document: unknown, path: Path): unknown =>
   path.reduce<unknown>(
     (value, key) => (value as Record<string, unknown> | undefined)?.[key],
     document,
@@ -51,7 +51,7 @@
   line: lineAt(text, err.offset),
 });
 
-/** The places of an issue: a strict object reports all its unknown keys in one issue. */
+/** The paths of an issue; a strict object reports all its unknown keys in one issue. */
 const pathsOf = (issue: z.core.$ZodIssue): Path[] => {
   const path = issue.path.map((part) => (typeof part === 'symbol' ? String(part) : part));
   return issue.code === 'unrecognized_keys' ? issue.keys.map((key) => [...path, key]) : [path];
@@ -63,7 +63,7 @@
   return `no such key; ${expectedAt(schema, path.slice(0, -1)) ?? 'another object'}`;
 };
 
-/** Parses JSON with comments and validates it by a schema; every fault is named. */
+/** Parses JSON with comments and validates it against a schema; reports every fault. */
 export const parseSettings = <S extends z.ZodType>(
   text: string,
   schema: S,
@@ -71,15 +71,15 @@
   const errors: ParseError[] = [];
   const document: unknown = parse(text, errors, { allowTrailingComma: true });
   if (errors.length > 0) return fail(errors.map((err) => syntaxFault(text, err)));
-  const checked = schema.safeParse(document);
-  if (checked.success) return ok(checked.data);
+  const validated = schema.safeParse(document);
+  if (validated.success) return ok(validated.data);
   return fail(
-    checked.error.issues.flatMap((issue) =>
+    validated.error.issues.flatMap((issue) =>
       pathsOf(issue).map((path) => ({
         key: path.join('.') || ROOT_KEY,
-        found: foundAt(valueAt(document, path)),
+        found: foundText(getValueAt(document, path)),
         expected: expectedText(schema, path, issue),
-        line: lineAt(text, nodeOffset(text, path)),
+        line: lineAt(text, offsetOf(text, path)),
       })),
     ),
   );
@@ -95,7 +95,7 @@
   }
 };
 
-/** One line for a fault: file, line, key, what was found and what is expected. */
+/** Formats a fault in one line: file, line, key, value found and value expected. */
 export const formatFault = (file: string, fault: SettingsFault): string =>
   fault.key === SYNTAX_KEY
     ? `${file}:${fault.line}: ${fault.found}, expected ${fault.expected}`
--- a/packages/common/test/answer-times.test.ts
+++ b/packages/common/test/answer-times.test.ts
@@ -3,17 +3,17 @@
 
 const create = () => createAnswerTimes(() => ({ first: 110, least: 100, most: 1_500 }));
 
-describe('limits from observed times', () => {
-  it('begin as declared, and stay above the least', () => {
+describe('adaptive timeouts', () => {
+  it('start at the declared timeout and never fall below the minimum', () => {
     const times = create();
     expect(times.limit('report')).to.equal(110);
     for (let n = 0; n < 50; n += 1) times.note('report', 20);
     expect(times.limit('report')).to.equal(100);
   });
 
-  // A reading of 192 ranks takes four times what one of 12 does. Under the fixed limit no reading ever came
-  // in whole, and the group kept its first map for good.
-  it('follow what answers take, within the bound', () => {
+  // Reading 192 ranks takes four times as long as reading 12. With a fixed timeout no reading of the large
+  // group was ever complete, so the group kept its first map for ever.
+  it('follow the observed response times up to the maximum', () => {
     const times = create();
     [300, 420, 380, 350].forEach((ms) => times.note('report', ms));
     expect(times.limit('report')).to.be.within(600, 1_200);
@@ -22,7 +22,7 @@
     expect(times.limit('report')).to.equal(1_500);
   });
 
-  it('are doubled while nothing comes, until the next answer', () => {
+  it('double after each mostly unanswered call until the next response', () => {
     const times = create();
     times.noteMostSilent('order');
     times.noteMostSilent('order');
--- a/packages/common/test/clock.test.ts
+++ b/packages/common/test/clock.test.ts
@@ -4,13 +4,13 @@
 describe('manual clock', () => {
   it('runs due timers in order of time, then of creation, each at its own time', async () => {
     const clock = createManualClock(1_000);
-    const seen: string[] = [];
-    const note = (name: string) => () => seen.push(`${name}@${clock.now()}`);
-    clock.after(20, note('late'));
-    clock.after(10, note('first'));
-    clock.after(10, note('second'));
+    const events: string[] = [];
+    const recordTime = (name: string) => () => events.push(`${name}@${clock.now()}`);
+    clock.after(20, recordTime('late'));
+    clock.after(10, recordTime('first'));
+    clock.after(10, recordTime('second'));
     await clock.advance(20);
-    expect(seen).to.deep.equal(['first@1010', 'second@1010', 'late@1020']);
+    expect(events).to.deep.equal(['first@1010', 'second@1010', 'late@1020']);
   });
 
   it('leaves out cancelled timers and those not yet due', async () => {
--- a/packages/common/test/errors/catalogue.test.ts
+++ b/packages/common/test/errors/catalogue.test.ts
@@ -33,11 +33,11 @@
 
 describe('error catalogue', () => {
   it('gives every refusal a status, an outcome, a message and a hint', () => {
-    const whole = reasons.map((reason) => {
+    const texts = reasons.map((reason) => {
       const { error } = refusalBody({ reason, data });
       return `${refusalStatus({ reason })} ${reason} (${error.outcome}): ${error.title}. ${error.message} ${error.hint}`;
     });
-    expect(whole).toMatchSnapshot();
+    expect(texts).toMatchSnapshot();
   });
 
   it('builds every message without data, and never prints undefined', () => {
@@ -46,19 +46,19 @@
     expect(texts.filter((text) => text.includes('undefined'))).to.deep.equal([]);
   });
 
-  it('answers an unknown outcome by 502, 504, or 409 for a repeat; one that did not run otherwise', () => {
+  it('maps unknown outcomes to 502, 504 or (for repeats) 409, and requests that did not run to other statuses', () => {
     const repeats = ['claim-key-expired', 'claim-lost', 'duplicate-in-progress', 'duplicate-known'];
     reasons.forEach((reason) => {
-      const ofUnknown = repeats.includes(reason) ? [409] : [502, 504];
-      expect(ofUnknown, reason).to.include(refusalStatus({ reason, outcome: 'unknown' }));
+      const unknownStatuses = repeats.includes(reason) ? [409] : [502, 504];
+      expect(unknownStatuses, reason).to.include(refusalStatus({ reason, outcome: 'unknown' }));
       expect([409, 502, 504], reason).to.not.include(refusalStatus({ reason, outcome: 'not-run' }));
     });
   });
 
   it('rounds Retry-After up to whole seconds, and never below one', () => {
-    const header = (retryAfterMs: number) =>
+    const retryAfter = (retryAfterMs: number) =>
       refusalHeaders({ reason: 'queue-full', retryAfterMs })['retry-after'];
-    expect([0, 1, 1_000, 1_001, Infinity, NaN, -5].map(header)).to.deep.equal([
+    expect([0, 1, 1_000, 1_001, Infinity, NaN, -5].map(retryAfter)).to.deep.equal([
       '1',
       '1',
       '1',
@@ -69,7 +69,7 @@
     ]);
   });
 
-  it('ends a broken stream by an error event of one data line', () => {
+  it('formats the error event of a broken stream with a single data line', () => {
     const event = refusalEvent({ reason: 'upstream-broke-off', data: { upstream: 'a\nb' } });
     expect(event).toMatchSnapshot();
     expect(event.split('\n')).to.have.length(4);
--- a/packages/common/test/metrics.test.ts
+++ b/packages/common/test/metrics.test.ts
@@ -4,13 +4,13 @@
 import { createMetrics } from '../src/index.js';
 import type { HistogramSummary, Labels } from '../src/index.js';
 
-const AWKWARD = 'a "quoted" \\ path\nand a second line';
+const ESCAPED_LABEL = 'a "quoted" \\ path\nand a second line';
 
-const filled = () => {
+const createFilledMetrics = () => {
   const metrics = createMetrics();
   metrics.count('refused', { reason: 'queue-full', class: 'live-sale' });
   metrics.gauge('intent_offset', 12);
-  metrics.count('refused', { class: AWKWARD, reason: 'leaving' }, 3);
+  metrics.count('refused', { class: ESCAPED_LABEL, reason: 'leaving' }, 3);
   metrics.record('answer_ms', 120, { class: 'live-sale' });
   metrics.record('answer_ms', 80, { class: 'live-sale' });
   metrics.record('answer_ms', 7, { class: 'pings' });
@@ -31,8 +31,8 @@
   { metricName: `${name}_count`, labels, value: summary.count },
 ];
 
-/** Has prom-client write the same figures, as a check on our own writer. */
-const writtenByPromClient = (metrics: ReturnType<typeof createMetrics>): Promise<string> => {
+/** Formats the same metrics with prom-client, as the reference for `exposition`. */
+const formatWithPromClient = (metrics: ReturnType<typeof createMetrics>): Promise<string> => {
   const registry = new Registry();
   const families = new Map<string, { type: string; help: string; values: Sample[] }>();
   const add = (type: string, name: string, fullName: string, values: Sample[]) => {
@@ -60,14 +60,14 @@
 };
 
 describe('metrics', () => {
-  it('writes the text format line for line as prom-client does', async () => {
-    const metrics = filled();
-    expect(metrics.exposition()).to.equal(await writtenByPromClient(metrics));
+  it('formats the text exposition exactly as prom-client does', async () => {
+    const metrics = createFilledMetrics();
+    expect(metrics.exposition()).to.equal(await formatWithPromClient(metrics));
     expect(metrics.exposition()).toMatchSnapshot();
   });
 
   it('keeps the series of one name together under one HELP and one TYPE line', () => {
-    const lines = filled().exposition().split('\n');
+    const lines = createFilledMetrics().exposition().split('\n');
     const types = lines.filter((line) => line.startsWith('# TYPE'));
     expect(types).to.deep.equal([
       '# TYPE plantaindrum_refused_total counter',
@@ -76,7 +76,7 @@
     ]);
   });
 
-  it('takes labels in any order as the same series, and other values as another', () => {
+  it('identifies a series by its label values, in any order of the labels', () => {
     const metrics = createMetrics();
     metrics.count('refused', { a: '1', b: '2' });
     metrics.count('refused', { b: '2', a: '1' });
@@ -86,7 +86,7 @@
     expect(metrics.counter('refused')).to.equal(0);
   });
 
-  it('keeps registries apart, and a snapshot as it was', () => {
+  it('keeps registries independent and snapshots unchanged', () => {
     const one = createMetrics();
     one.count('refused');
     const before = one.snapshot();
@@ -95,7 +95,7 @@
     expect(createMetrics().snapshot()).to.deep.equal({ counters: [], gauges: [], histograms: [] });
   });
 
-  it('gives the exact sum, and records values out of range at the ends of it', () => {
+  it('keeps the exact sum and clamps values that are out of range', () => {
     const metrics = createMetrics();
     [-5, 0.4, 1_000_003, 1e12].forEach((value) => metrics.record('answer_us', value));
     const summary = metrics.snapshot().histograms[0]?.summary;
--- a/packages/common/test/settings.test.ts
+++ b/packages/common/test/settings.test.ts
@@ -30,7 +30,7 @@
     expect(faultsOf('{\n  "node": {\n    "name" "kent-e1"\n  }\n}')).toMatchSnapshot();
   });
 
-  it('reports a missing file by an error of the catalogue', () => {
+  it('reports a missing file as a catalogue error', () => {
     expect(() => readSettings('no-such-file.jsonc', entrySettingsSchema)).to.throw(
       'no-such-file.jsonc cannot be read',
     );
