--- a/packages/service-clients/src/engine-orders.ts
+++ b/packages/service-clients/src/engine-orders.ts
@@ -1,9 +1,9 @@
 import type { Result } from '@plantaindrum/common';
 import { fail, ok } from '@plantaindrum/common';
-import type { HttpSenderOptions, PlatformFailure } from './http.js';
-import { createHttpSender, isSuccess, parseJson, statusFailure } from './http.js';
+import type { HttpClientOptions, PlatformFailure } from './http.js';
+import { createHttpClient, isSuccess, parseJson, statusFailure } from './http.js';
 
-/** Orders that a model engine takes; see docs/PLATFORM.md. */
+/** Orders that a model engine accepts; see docs/PLATFORM.md. */
 export type EngineOrder =
   | 'load_model'
   | 'load_adapter'
@@ -15,26 +15,26 @@
   | 'abort_map'
   | 'refuse_map';
 
-/** How an engine met an order: carried out, or refused with its reason (`old-fence`, `late`, …). */
+/** Result of an order: executed, or refused by the engine with a reason (`old-fence`, `late`, …). */
 export type OrderOutcome =
   { outcome: 'done'; value: unknown } | { outcome: 'refused'; reason: string };
 
-/** Gives orders to one engine, and reads its group state. */
+/** Sends orders to one engine and reads its group state. */
 export interface EngineOrderClient {
-  /** `unknown`: the order may have been carried out. */
+  /** Sends an order; after a failure of kind `unknown` it may have been executed. */
   order(
     name: EngineOrder,
     body: { fence: number } & Record<string, unknown>,
   ): Promise<Result<OrderOutcome, PlatformFailure>>;
-  /** The body of `GET /group`, unchecked. */
+  /** The body of `GET /group`, not validated. */
   group(): Promise<Result<unknown, PlatformFailure>>;
   close(): Promise<void>;
 }
 
-/** Address and limits of an engine client. */
-export interface EngineOrderOptions extends HttpSenderOptions {
+/** Options of `createEngineOrderClient`. */
+export interface EngineOrderOptions extends HttpClientOptions {
   url: string;
-  /** Time for one order; preparing a map loads weights and takes long. */
+  /** Timeout of one call, in milliseconds; `prepare_map` loads weights and takes long. */
   timeoutMs?: number;
 }
 
@@ -45,33 +45,33 @@
   return typeof reason === 'string' ? reason : 'no reason given';
 };
 
-/** Creates a client for one engine's orders. */
+/** Creates a client for the orders of one engine. */
 export const createEngineOrderClient = (options: EngineOrderOptions): EngineOrderClient => {
-  const http = createHttpSender(options);
+  const http = createHttpClient(options);
   const base = options.url.replace(/\/$/, '');
   const timeoutMs = options.timeoutMs ?? DEFAULT_TIMEOUT_MS;
 
   const order: EngineOrderClient['order'] = async (name, body) => {
-    const sent = await http.send({
+    const result = await http.send({
       method: 'POST',
       url: `${base}/orders/${name}`,
       headers: { 'content-type': 'application/json' },
       body: JSON.stringify(body),
       timeoutMs,
     });
-    if (!sent.ok) return sent;
-    const { status } = sent.value;
-    if (!isSuccess(sent.value) && status !== 409) return fail(statusFailure(sent.value));
-    const answer = parseJson(sent.value);
-    if (!answer.ok) return answer;
-    if (status === 409) return ok({ outcome: 'refused', reason: refusalReason(answer.value) });
-    return ok({ outcome: 'done', value: answer.value });
+    if (!result.ok) return result;
+    const { status } = result.value;
+    if (!isSuccess(result.value) && status !== 409) return fail(statusFailure(result.value));
+    const parsed = parseJson(result.value);
+    if (!parsed.ok) return parsed;
+    if (status === 409) return ok({ outcome: 'refused', reason: refusalReason(parsed.value) });
+    return ok({ outcome: 'done', value: parsed.value });
   };
 
   const group: EngineOrderClient['group'] = async () => {
-    const sent = await http.send({ method: 'GET', url: `${base}/group`, timeoutMs });
-    if (!sent.ok) return sent;
-    return isSuccess(sent.value) ? parseJson(sent.value) : fail(statusFailure(sent.value));
+    const result = await http.send({ method: 'GET', url: `${base}/group`, timeoutMs });
+    if (!result.ok) return result;
+    return isSuccess(result.value) ? parseJson(result.value) : fail(statusFailure(result.value));
   };
 
   return { order, group, close: http.close };
--- a/packages/service-clients/src/http.ts
+++ b/packages/service-clients/src/http.ts
@@ -2,60 +2,60 @@
 import { fail, ok } from '@plantaindrum/common';
 import { Agent, request } from 'undici';
 
-/** What became of a call to the platform that gave no usable answer. */
+/** Why a call to the platform gave no usable response, and whether it may have had an effect. */
 export type PlatformFailureKind =
-  /** No connection was made, so the call had no effect. */
+  /** The connection failed, so the call had no effect. */
   | 'unreachable'
-  /** The service answered that it takes nothing now (503); no effect. */
+  /** The service is unavailable (503); no effect. */
   | 'unavailable'
-  /** Over the rate limit (429); no effect. */
+  /** The rate limit was exceeded (429); no effect. */
   | 'rate-limited'
-  /** The service refused the call as such (other 4xx); no effect. */
+  /** The service rejected the call (other 4xx); no effect. */
   | 'rejected'
-  /** The answer was lost: the call may or may not have had its effect. */
+  /** The response was lost or unusable: the call may or may not have had its effect. */
   | 'unknown';
 
 /** A failed call to the platform. */
 export interface PlatformFailure {
   kind: PlatformFailureKind;
   detail: string;
-  /** The service's own Retry-After, in milliseconds. */
+  /** Retry-After sent by the service, in milliseconds. */
   retryAfterMs?: number;
 }
 
-/** An HTTP answer whose body has been read. */
-export interface HttpAnswer {
+/** An HTTP response whose body has been read. */
+export interface HttpResponse {
   status: number;
   headers: Record<string, string | string[] | undefined>;
   body: Buffer;
 }
 
-/** One call to the platform. */
-export interface HttpCall {
+/** One HTTP request to the platform. */
+export interface HttpRequest {
   method: 'GET' | 'POST';
   url: string;
   headers?: Record<string, string>;
   body?: string;
-  /** Time for the whole answer, in milliseconds. */
+  /** Timeout of the complete response, in milliseconds. */
   timeoutMs: number;
 }
 
-/** Sends calls to one service of the platform; it never repeats a call by itself. */
-export interface HttpSender {
-  send(call: HttpCall): Promise<Result<HttpAnswer, PlatformFailure>>;
+/** HTTP client of one platform service; it never retries. */
+export interface HttpClient {
+  send(req: HttpRequest): Promise<Result<HttpResponse, PlatformFailure>>;
   close(): Promise<void>;
 }
 
-/** Identification and limits of an HTTP sender. */
-export interface HttpSenderOptions {
-  /** Sent as `x-client`, so that the platform's logs tell the callers apart. */
+/** Options of `createHttpClient`. */
+export interface HttpClientOptions {
+  /** Sent as `x-client`, which identifies the caller in the platform's logs. */
   client: string;
-  /** Most open connections to one service. */
+  /** Maximum number of open connections to the service. */
   connections?: number;
   connectTimeoutMs?: number;
 }
 
-const NOT_CONNECTED = new Set([
+const CONNECT_ERROR_CODES = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
   'ENETUNREACH',
@@ -63,73 +63,73 @@
   'UND_ERR_CONNECT_TIMEOUT',
 ]);
 
-const codeOf = (err: unknown): string => {
+const errorCodeOf = (err: unknown): string => {
   const { code, name } = err as { code?: unknown; name?: unknown };
   return String(code ?? name ?? err);
 };
 
-/** A connection that was never made carried nothing; after that the effect is in doubt. */
-const failureOf = (err: unknown): PlatformFailure => {
-  const code = codeOf(err);
-  return { kind: NOT_CONNECTED.has(code) ? 'unreachable' : 'unknown', detail: code };
+/** A request whose connection failed was never sent; after any other error its effect is unknown. */
+const requestFailure = (err: unknown): PlatformFailure => {
+  const code = errorCodeOf(err);
+  return { kind: CONNECT_ERROR_CODES.has(code) ? 'unreachable' : 'unknown', detail: code };
 };
 
-const retryAfterOf = (answer: HttpAnswer): number | undefined => {
-  const seconds = Number(answer.headers['retry-after']);
+const retryAfterMsOf = (response: HttpResponse): number | undefined => {
+  const seconds = Number(response.headers['retry-after']);
   return Number.isFinite(seconds) ? seconds * 1000 : undefined;
 };
 
-const kindOf = (status: number): PlatformFailureKind => {
+const failureKindOf = (status: number): PlatformFailureKind => {
   if (status === 429) return 'rate-limited';
   if (status === 503) return 'unavailable';
   if (status >= 400 && status < 500) return 'rejected';
   return 'unknown';
 };
 
-/** The failure that a status other than 2xx stands for. */
-export const statusFailure = (answer: HttpAnswer): PlatformFailure => {
-  const retryAfterMs = retryAfterOf(answer);
+/** The failure for a response whose status is not 2xx. */
+export const statusFailure = (response: HttpResponse): PlatformFailure => {
+  const retryAfterMs = retryAfterMsOf(response);
   return {
-    kind: kindOf(answer.status),
-    detail: `HTTP ${answer.status}`,
+    kind: failureKindOf(response.status),
+    detail: `HTTP ${response.status}`,
     ...(retryAfterMs === undefined ? {} : { retryAfterMs }),
   };
 };
 
-/** Whether an answer's status is 2xx. */
-export const isSuccess = (answer: HttpAnswer): boolean =>
-  answer.status >= 200 && answer.status < 300;
+/** Whether the status of a response is 2xx. */
+export const isSuccess = (response: HttpResponse): boolean =>
+  response.status >= 200 && response.status < 300;
 
-/** Parses a body as JSON; text that is not JSON leaves the call's effect unknown. */
-export const parseJson = (answer: HttpAnswer): Result<unknown, PlatformFailure> => {
+/** Parses a body as JSON; if it is not JSON, the effect of the call is unknown. */
+export const parseJson = (response: HttpResponse): Result<unknown, PlatformFailure> => {
   try {
-    return ok(JSON.parse(answer.body.toString('utf8')));
+    return ok(JSON.parse(response.body.toString('utf8')));
   } catch {
-    return fail({ kind: 'unknown', detail: 'answer is not JSON' });
+    return fail({ kind: 'unknown', detail: 'response is not JSON' });
   }
 };
 
-/** Creates a sender with its own pool of connections. */
-export const createHttpSender = (options: HttpSenderOptions): HttpSender => {
+/** Creates a client with its own connection pool. */
+export const createHttpClient = (options: HttpClientOptions): HttpClient => {
   const dispatcher = new Agent({
     connections: options.connections ?? 8,
     connect: { timeout: options.connectTimeoutMs ?? 1_000 },
     pipelining: 1,
   });
 
-  const send = async (call: HttpCall): Promise<Result<HttpAnswer, PlatformFailure>> => {
+  const send = async (req: HttpRequest): Promise<Result<HttpResponse, PlatformFailure>> => {
     try {
-      const res = await request(call.url, {
+      const res = await request(req.url, {
         dispatcher,
-        method: call.method,
-        headers: { 'x-client': options.client, ...call.headers },
-        body: call.body ?? null,
-        signal: AbortSignal.timeout(call.timeoutMs),
+        method: req.method,
+        headers: { 'x-client': options.client, ...req.headers },
+        body: req.body ?? null,
+        signal: AbortSignal.timeout(req.timeoutMs),
       });
       const body = Buffer.from(await res.body.arrayBuffer());
       return ok({ status: res.statusCode, headers: res.headers, body });
     } catch (err) {
-      return fail(failureOf(err));
+      return fail(requestFailure(err));
     }
   };
 
--- a/packages/service-clients/src/log-client.ts
+++ b/packages/service-clients/src/log-client.ts
@@ -1,15 +1,16 @@
 import type { Result } from '@plantaindrum/common';
 import { fail, ok } from '@plantaindrum/common';
-import type { HttpAnswer, HttpSenderOptions, PlatformFailure } from './http.js';
-import { createHttpSender, isSuccess, parseJson, statusFailure } from './http.js';
+import type { HttpClientOptions, HttpResponse, PlatformFailure } from './http.js';
+import { createHttpClient, isSuccess, parseJson, statusFailure } from './http.js';
 import type { Log, LogFailure, LogOffsets, LogRecord } from './log.js';
 
-/** Address and limits of a log client. */
-export interface LogClientOptions extends HttpSenderOptions {
+/** Options of `createLogClient`. */
+export interface LogClientOptions extends HttpClientOptions {
   /** Base address of the log service. */
   url: string;
-  /** Time for an append or an offsets call, and for a read beyond its wait, in milliseconds. */
+  /** Timeout of a call in milliseconds; for a read it is added to the wait. */
   timeoutMs?: number;
+  /** Maximum size of the response to a read. */
   maxBytes?: number;
 }
 
@@ -18,9 +19,9 @@
 const DEFAULT_MAX_BYTES = 4_194_304;
 const DEFAULT_RETRY_AFTER_MS = 500;
 
-const MALFORMED: PlatformFailure = { kind: 'unknown', detail: 'answer of another shape' };
+const MALFORMED_RESPONSE: PlatformFailure = { kind: 'unknown', detail: 'malformed response' };
 
-const logKinds: Record<PlatformFailure['kind'], LogFailure['kind']> = {
+const logFailureKinds: Record<PlatformFailure['kind'], LogFailure['kind']> = {
   unreachable: 'unavailable',
   unavailable: 'unavailable',
   rejected: 'unavailable',
@@ -29,18 +30,18 @@
 };
 
 const logFailure = (failure: PlatformFailure): LogFailure => ({
-  kind: logKinds[failure.kind],
+  kind: logFailureKinds[failure.kind],
   retryAfterMs: failure.retryAfterMs ?? DEFAULT_RETRY_AFTER_MS,
 });
 
-const answerFailure = (answer: HttpAnswer): LogFailure =>
-  answer.status === 404
+const statusLogFailure = (response: HttpResponse): LogFailure =>
+  response.status === 404
     ? { kind: 'out-of-range', retryAfterMs: 0 }
-    : logFailure(statusFailure(answer));
+    : logFailure(statusFailure(response));
 
 const isOffset = (value: unknown): value is number => Number.isSafeInteger(value);
 
-const parseAppended =
+const parseAppendOffsets =
   (count: number) =>
   (body: unknown): number[] | undefined => {
     const list = (body as { offsets?: { offset?: unknown }[] } | null)?.offsets;
@@ -66,25 +67,25 @@
   return isOffset(beginning) && isOffset(end) ? { beginning, end } : undefined;
 };
 
-/** Creates a client for the log service by its Kafka REST interface; it never repeats a call. */
+/** Creates a client for the log service's Kafka REST interface; it never retries. */
 export const createLogClient = (options: LogClientOptions): Log & { close(): Promise<void> } => {
-  const http = createHttpSender(options);
+  const http = createHttpClient(options);
   const timeoutMs = options.timeoutMs ?? DEFAULT_TIMEOUT_MS;
   const maxBytes = options.maxBytes ?? DEFAULT_MAX_BYTES;
   const base = options.url.replace(/\/$/, '');
-  const pathOf = (topic: string, partition: number): string =>
+  const partitionUrl = (topic: string, partition: number): string =>
     `${base}/topics/${encodeURIComponent(topic)}/partitions/${partition}`;
 
-  const parsed = <T>(
-    sent: Result<HttpAnswer, PlatformFailure>,
+  const parseResponse = <T>(
+    result: Result<HttpResponse, PlatformFailure>,
     parse: (body: unknown) => T | undefined,
   ): Result<T, LogFailure> => {
-    if (!sent.ok) return fail(logFailure(sent.err));
-    if (!isSuccess(sent.value)) return fail(answerFailure(sent.value));
-    const body = parseJson(sent.value);
+    if (!result.ok) return fail(logFailure(result.err));
+    if (!isSuccess(result.value)) return fail(statusLogFailure(result.value));
+    const body = parseJson(result.value);
     if (!body.ok) return fail(logFailure(body.err));
     const value = parse(body.value);
-    return value === undefined ? fail(logFailure(MALFORMED)) : ok(value);
+    return value === undefined ? fail(logFailure(MALFORMED_RESPONSE)) : ok(value);
   };
 
   const get = (url: string, waitMs: number) =>
@@ -96,23 +97,26 @@
     });
 
   const append: Log['append'] = async (topic, partition, values) => {
-    const sent = await http.send({
+    const result = await http.send({
       method: 'POST',
-      url: pathOf(topic, partition),
+      url: partitionUrl(topic, partition),
       headers: { 'content-type': KAFKA_JSON, accept: KAFKA_JSON },
       body: JSON.stringify({ records: values.map((value) => ({ value })) }),
       timeoutMs,
     });
-    return parsed(sent, parseAppended(values.length));
+    return parseResponse(result, parseAppendOffsets(values.length));
   };
 
   const read: Log['read'] = async (topic, partition, offset, waitMs) => {
     const query = `offset=${offset}&timeout=${waitMs}&max_bytes=${maxBytes}`;
-    return parsed(await get(`${pathOf(topic, partition)}/records?${query}`, waitMs), parseRecords);
+    return parseResponse(
+      await get(`${partitionUrl(topic, partition)}/records?${query}`, waitMs),
+      parseRecords,
+    );
   };
 
   const offsets: Log['offsets'] = async (topic, partition) =>
-    parsed(await get(`${pathOf(topic, partition)}/offsets`, 0), parseRange);
+    parseResponse(await get(`${partitionUrl(topic, partition)}/offsets`, 0), parseRange);
 
   return { append, read, offsets, close: http.close };
 };
--- a/packages/service-clients/src/vm-list.ts
+++ b/packages/service-clients/src/vm-list.ts
@@ -1,9 +1,9 @@
 import type { Result } from '@plantaindrum/common';
 import { fail, ok } from '@plantaindrum/common';
-import type { HttpSenderOptions, PlatformFailure } from './http.js';
-import { createHttpSender, isSuccess, parseJson, statusFailure } from './http.js';
+import type { HttpClientOptions, PlatformFailure } from './http.js';
+import { createHttpClient, isSuccess, parseJson, statusFailure } from './http.js';
 
-/** One VM as the platform's list shows it; the list lags. */
+/** One VM in the platform's list, which may be out of date. */
 export interface Vm {
   name: string;
   /** Link address, `host:port`. */
@@ -15,20 +15,20 @@
   kind?: 'model' | 'service';
   model?: string;
   service?: string;
-  /** Expert group and the ranks of it that this VM serves. */
+  /** Expert group of this VM; `ranks` are the ranks of the group that it serves. */
   group?: string;
   ranks?: number[];
 }
 
 /** Reads the platform's list of VMs. */
 export interface VmListClient {
-  /** Answers the very same array as before when the platform says that nothing has changed. */
+  /** Returns the same array instance as before while the platform reports no change. */
   list(): Promise<Result<Vm[], PlatformFailure>>;
   close(): Promise<void>;
 }
 
-/** Address and limits of a VM list client. */
-export interface VmListOptions extends HttpSenderOptions {
+/** Options of `createVmListClient`. */
+export interface VmListOptions extends HttpClientOptions {
   /** Full address of the list. */
   url: string;
   timeoutMs?: number;
@@ -37,8 +37,8 @@
 const DEFAULT_TIMEOUT_MS = 2_000;
 const NOT_MODIFIED = 304;
 
-/** The last list that was read whole, with its validator (RFC 9110, 8.8.3). */
-interface KnownList {
+/** The last list that was read, with its validator (RFC 9110, 8.8.3). */
+interface CachedList {
   etag: string;
   vms: Vm[];
 }
@@ -77,26 +77,26 @@
   );
 };
 
-/** Creates a client for the list of VMs (Prometheus HTTP service discovery). */
+/** Creates a client for the platform's VM list (Prometheus HTTP service discovery). */
 export const createVmListClient = (options: VmListOptions): VmListClient => {
-  const http = createHttpSender(options);
+  const http = createHttpClient(options);
   const timeoutMs = options.timeoutMs ?? DEFAULT_TIMEOUT_MS;
-  let known: KnownList | undefined;
+  let cached: CachedList | undefined;
 
-  const remember = (etag: string | string[] | undefined, vms: Vm[]): void => {
-    known = typeof etag === 'string' ? { etag, vms } : undefined;
+  const updateCache = (etag: string | string[] | undefined, vms: Vm[]): void => {
+    cached = typeof etag === 'string' ? { etag, vms } : undefined;
   };
 
-  /** In a large fleet the list is megabytes long and seldom changes, so it is asked for by ETag. */
+  /** In a large fleet the list is megabytes long and seldom changes, so the request is conditional. */
   const list = async (): Promise<Result<Vm[], PlatformFailure>> => {
-    const headers: Record<string, string> = known ? { 'if-none-match': known.etag } : {};
-    const sent = await http.send({ method: 'GET', url: options.url, headers, timeoutMs });
-    if (!sent.ok) return sent;
-    if (sent.value.status === NOT_MODIFIED && known) return ok(known.vms);
-    if (!isSuccess(sent.value)) return fail(statusFailure(sent.value));
-    const body = parseJson(sent.value);
+    const headers: Record<string, string> = cached ? { 'if-none-match': cached.etag } : {};
+    const result = await http.send({ method: 'GET', url: options.url, headers, timeoutMs });
+    if (!result.ok) return result;
+    if (result.value.status === NOT_MODIFIED && cached) return ok(cached.vms);
+    if (!isSuccess(result.value)) return fail(statusFailure(result.value));
+    const body = parseJson(result.value);
     const vms = body.ok ? parseVmList(body.value) : body;
-    if (vms.ok) remember(sent.value.headers.etag, vms.value);
+    if (vms.ok) updateCache(result.value.headers.etag, vms.value);
     return vms;
   };
   return { list, close: http.close };
--- a/packages/service-clients/src/weight-store.ts
+++ b/packages/service-clients/src/weight-store.ts
@@ -1,27 +1,27 @@
 import type { Result } from '@plantaindrum/common';
 import { fail, ok } from '@plantaindrum/common';
-import type { HttpSenderOptions, PlatformFailure } from './http.js';
-import { createHttpSender, statusFailure } from './http.js';
+import type { HttpClientOptions, PlatformFailure } from './http.js';
+import { createHttpClient, statusFailure } from './http.js';
 
-/** Names one expert's weights. */
+/** Identifies the weights of one expert. */
 export interface WeightName {
   model: string;
   layer: number;
   expert: number;
 }
 
-/** A part of one expert's weights. */
+/** A range of one expert's weights. */
 export interface WeightPart {
-  /** Position of the first byte. */
+  /** Offset of the first byte. */
   from: number;
   data: Buffer;
-  /** Size of the whole, in bytes. */
+  /** Size of the expert's complete weights, in bytes. */
   size: number;
 }
 
-/** Reads the rate-limited weight store by ranges, so that a broken read can go on. */
+/** Reads the rate-limited weight store in ranges, so that an interrupted read can be resumed. */
 export interface WeightStoreClient {
-  /** Up to `length` bytes from `from` on; fewer at the end. */
+  /** Reads up to `length` bytes from offset `from` on; fewer at the end. */
   read(
     name: WeightName,
     from: number,
@@ -30,8 +30,8 @@
   close(): Promise<void>;
 }
 
-/** Address and limits of a weight store client. */
-export interface WeightStoreOptions extends HttpSenderOptions {
+/** Options of `createWeightStoreClient`. */
+export interface WeightStoreOptions extends HttpClientOptions {
   /** Base address of the store, without `/weights`. */
   url: string;
   timeoutMs?: number;
@@ -39,28 +39,28 @@
 
 const DEFAULT_TIMEOUT_MS = 10_000;
 
-/** Content-Range as RFC 9110 section 14.4 gives it: `bytes 0-99/1000`. */
-const parseContentRange = (text: unknown): { from: number; size: number } | undefined => {
-  const match = /^bytes (\d+)-\d+\/(\d+)$/.exec(String(text));
+/** Parses Content-Range (RFC 9110, 14.4), for example `bytes 0-99/1000`. */
+const parseContentRange = (header: unknown): { from: number; size: number } | undefined => {
+  const match = /^bytes (\d+)-\d+\/(\d+)$/.exec(String(header));
   return match ? { from: Number(match[1]), size: Number(match[2]) } : undefined;
 };
 
 /** Creates a client for the weight store. */
 export const createWeightStoreClient = (options: WeightStoreOptions): WeightStoreClient => {
-  const http = createHttpSender(options);
+  const http = createHttpClient(options);
   const base = options.url.replace(/\/$/, '');
   const timeoutMs = options.timeoutMs ?? DEFAULT_TIMEOUT_MS;
 
   const read: WeightStoreClient['read'] = async ({ model, layer, expert }, from, length) => {
     const url = `${base}/weights/${encodeURIComponent(model)}/${layer}/${expert}`;
     const headers = { range: `bytes=${from}-${from + length - 1}` };
-    const sent = await http.send({ method: 'GET', url, headers, timeoutMs });
-    if (!sent.ok) return sent;
-    const { status, body } = sent.value;
+    const result = await http.send({ method: 'GET', url, headers, timeoutMs });
+    if (!result.ok) return result;
+    const { status, body } = result.value;
     if (status === 200) return ok({ from: 0, data: body, size: body.length });
-    if (status !== 206) return fail(statusFailure(sent.value));
-    const range = parseContentRange(sent.value.headers['content-range']);
-    if (range?.from !== from) return fail({ kind: 'unknown', detail: 'another range answered' });
+    if (status !== 206) return fail(statusFailure(result.value));
+    const range = parseContentRange(result.value.headers['content-range']);
+    if (range?.from !== from) return fail({ kind: 'unknown', detail: 'unexpected range' });
     return ok({ from, data: body, size: range.size });
   };
   return { read, close: http.close };
--- a/packages/service-clients/test/clients.test.ts
+++ b/packages/service-clients/test/clients.test.ts
@@ -11,14 +11,14 @@
 
 describe('platform clients', () => {
   let server: Server;
-  let seen: IncomingMessage[] = [];
+  let requests: IncomingMessage[] = [];
 
-  const listen = async (answer: RequestListener): Promise<string> => {
-    seen = [];
+  const startServer = async (handler: RequestListener): Promise<string> => {
+    requests = [];
     server = createServer((req, res) => {
-      seen.push(req);
+      requests.push(req);
       req.resume();
-      req.on('end', () => answer(req, res));
+      req.on('end', () => handler(req, res));
     });
     await new Promise<void>((resolve) => {
       server.listen(0, '127.0.0.1', resolve);
@@ -31,7 +31,7 @@
     server.close();
   });
 
-  const json = (status: number, body: unknown, headers = {}): RequestListener => {
+  const respondJson = (status: number, body: unknown, headers = {}): RequestListener => {
     const text = JSON.stringify(body);
     return (_req, res) => {
       res.writeHead(status, { 'content-type': 'application/json', ...headers }).end(text);
@@ -45,42 +45,41 @@
     return result;
   };
 
-  it('appends records and says who it is', async () => {
-    const url = await listen(json(200, { offsets: [{ offset: 7 }, { offset: 8 }] }));
+  it('appends records and identifies itself with x-client', async () => {
+    const url = await startServer(respondJson(200, { offsets: [{ offset: 7 }, { offset: 8 }] }));
     expect(await appendTo(url)).to.deep.equal({ ok: true, value: [7, 8] });
-    expect(seen[0]?.url).to.equal('/topics/plantaindrum.intent/partitions/0');
-    expect(seen[0]?.headers['x-client']).to.equal('test');
+    expect(requests[0]?.url).to.equal('/topics/plantaindrum.intent/partitions/0');
+    expect(requests[0]?.headers['x-client']).to.equal('test');
   });
 
-  // The caller cannot tell whether its append landed. The service takes the record, then the
-  // connection breaks before the answer. A hidden second append would stand in the log twice, so
-  // the client reports `unknown` after exactly one request.
-  it('reports a lost answer as unknown and does not append again', async () => {
-    const url = await listen((_req, res) => res.socket?.destroy());
+  // The service stores the record, then the connection breaks before the response. An internal retry would
+  // append the record twice, so the client sends exactly one request and reports `unknown`.
+  it('reports a lost response as unknown and does not retry the append', async () => {
+    const url = await startServer((_req, res) => res.socket?.destroy());
     expect(await appendTo(url)).to.deep.include({ ok: false });
     expect(await appendTo(url)).to.have.nested.property('err.kind', 'unknown');
-    expect(seen).to.have.length(2);
+    expect(requests).to.have.length(2);
   });
 
-  it('reports refusals without effect apart from lost answers', async () => {
-    const kinds = [];
-    const throttled = await listen(json(429, {}, { 'retry-after': '3' }));
-    kinds.push(await appendTo(throttled));
+  it('reports refused appends as failures without effect', async () => {
+    const results = [];
+    const throttled = await startServer(respondJson(429, {}, { 'retry-after': '3' }));
+    results.push(await appendTo(throttled));
     server.close();
-    const down = await listen(json(503, {}));
-    kinds.push(await appendTo(down));
+    const down = await startServer(respondJson(503, {}));
+    results.push(await appendTo(down));
     server.close();
     server.closeAllConnections();
-    kinds.push(await appendTo(down));
-    expect(kinds).to.deep.equal([
+    results.push(await appendTo(down));
+    expect(results).to.deep.equal([
       { ok: false, err: { kind: 'throttled', retryAfterMs: 3000 } },
       { ok: false, err: { kind: 'unavailable', retryAfterMs: 500 } },
       { ok: false, err: { kind: 'unavailable', retryAfterMs: 500 } },
     ]);
   });
 
-  it('reports an offset that retention removed', async () => {
-    const url = await listen(json(404, { error_code: 40401 }));
+  it('reports an offset below the retained records as out of range', async () => {
+    const url = await startServer(respondJson(404, { error_code: 40401 }));
     const log = createLogClient({ url, client: 'test' });
     const result = await log.read('plantaindrum.intent', 0, 3, 10);
     await log.close();
@@ -90,7 +89,9 @@
   it('parses the VM list', async () => {
     const labels = { vm: 'kent-m1', role: 'upstream', data_centre: 'kent', region: 'northwest' };
     const rank = { ...labels, state: 'leaving', kind: 'model', group: 'g1', ranks: '0,1' };
-    const url = await listen(json(200, [{ targets: ['127.0.0.1:7001'], labels: rank }]));
+    const url = await startServer(
+      respondJson(200, [{ targets: ['127.0.0.1:7001'], labels: rank }]),
+    );
     const vms = createVmListClient({ url, client: 'test' });
     const result = await vms.list();
     await vms.close();
@@ -112,11 +113,11 @@
     });
   });
 
-  it('reads the VM list anew only when it has changed', async () => {
+  it('downloads the VM list again only after it has changed', async () => {
     let version = 1;
-    const asked: (string | undefined)[] = [];
-    const url = await listen((req, res) => {
-      asked.push(req.headers['if-none-match']);
+    const etags: (string | undefined)[] = [];
+    const url = await startServer((req, res) => {
+      etags.push(req.headers['if-none-match']);
       const etag = `"${version}"`;
       if (req.headers['if-none-match'] === etag) res.writeHead(304, { etag }).end();
       else res.writeHead(200, { etag }).end(JSON.stringify([{ targets: [`10.0.0.${version}:1`] }]));
@@ -126,27 +127,27 @@
     version = 2;
     const changed = await vms.list();
     await vms.close();
-    expect(asked).to.deep.equal([undefined, '"1"', '"1"']);
+    expect(etags).to.deep.equal([undefined, '"1"', '"1"']);
     expect(lists[1]).to.equal(lists[0]);
     expect(changed.ok && changed.value[0]?.address).to.equal('10.0.0.2:1');
   });
 
-  it('reads weights by ranges', async () => {
-    const url = await listen((_req, res) => {
+  it('reads weights by range', async () => {
+    const url = await startServer((_req, res) => {
       res.writeHead(206, { 'content-range': 'bytes 2-4/9' }).end('cde');
     });
     const weights = createWeightStoreClient({ url, client: 'test' });
     const result = await weights.read({ model: 'm', layer: 0, expert: 5 }, 2, 3);
     await weights.close();
-    expect(seen[0]?.headers.range).to.equal('bytes=2-4');
+    expect(requests[0]?.headers.range).to.equal('bytes=2-4');
     expect(result).to.deep.equal({
       ok: true,
       value: { from: 2, data: Buffer.from('cde'), size: 9 },
     });
   });
 
-  it('tells an engine that refuses an old fencing number from one that obeys', async () => {
-    const url = await listen(json(409, { refused: 'old-fence' }));
+  it('reports an order refused for an old fencing token with its reason', async () => {
+    const url = await startServer(respondJson(409, { refused: 'old-fence' }));
     const engine = createEngineOrderClient({ url, client: 'test' });
     const result = await engine.order('switch_map', { fence: 3, version: 1 });
     await engine.close();
--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,4 +1,4 @@
-/** Bundles the programs that run on the platform into one file: hundreds of small ones load slowly. */
+/** Bundles the platform programs into one file, because loading hundreds of small files is slow. */
 import { build } from 'esbuild';
 
 await build({
@@ -10,7 +10,7 @@
   format: 'cjs',
   conditions: ['source'],
   minifySyntax: true,
-  // The codec's native part is looked for with the help of other processes; plain code will do.
+  // Without this, the CBOR codec starts child processes to find its native addon, which is not needed.
   define: { 'process.env.CBOR_NATIVE_ACCELERATION_DISABLED': '"true"' },
   logLevel: 'warning',
 });
--- a/scripts/counting-reporter.cjs
+++ b/scripts/counting-reporter.cjs
@@ -1,6 +1,6 @@
 const { reporters } = require('mocha');
 
-/** The spec reporter, closed by one line that counts the results. */
+/** Mocha's spec reporter with a final line that counts the results. */
 class CountingReporter extends reporters.Spec {
   epilogue() {
     super.epilogue();
