--- a/packages/stand-ins/src/engine/completions.ts
+++ b/packages/stand-ins/src/engine/completions.ts
@@ -1,6 +1,6 @@
 /** `POST /v1/completions`: queues a generation and writes its tokens as they come. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
-import { headerOf, readJson, sendJson } from '../http.js';
+import { getHeader, readJson, sendJson } from '../http.js';
 import type { Engine } from './engine.js';
 import { completionBody, completionId, DONE_EVENT, tokenEvent } from './text.js';
 
@@ -54,7 +54,7 @@
   }
   const { model = '', max_tokens: maxTokens = DEFAULT_MAX_TOKENS, stream = false } = body;
   const prompt = body.prompt as string;
-  const resumeAfter = headerOf(req, 'last-event-id');
+  const resumeAfter = getHeader(req, 'last-event-id');
   const from = stream && resumeAfter !== undefined ? Number(resumeAfter) + 1 : 0;
   const { counts } = engine;
   const breakAfter = stream ? takeBreak(engine) : Infinity;
--- a/packages/stand-ins/src/engine/control.ts
+++ b/packages/stand-ins/src/engine/control.ts
@@ -1,5 +1,5 @@
 /** The control address of an engine group. */
-import { addressOf, readJson, sendJson } from '../http.js';
+import { requestUrl, readJson, sendJson } from '../http.js';
 import type { Handler } from '../http.js';
 import type { EngineFaults } from './engine.js';
 import type { EngineGroupStandIn } from './group-types.js';
@@ -27,7 +27,7 @@
   };
 
   return async (req, res) => {
-    const { pathname, searchParams } = addressOf(req);
+    const { pathname, searchParams } = requestUrl(req);
     if (pathname === '/oracle') {
       sendJson(res, 200, group.oracle(Number(searchParams.get('recent') ?? 0)));
       return;
--- a/packages/stand-ins/src/engine/engine-server.ts
+++ b/packages/stand-ins/src/engine/engine-server.ts
@@ -1,7 +1,7 @@
 /** The doors of one engine: completions, metrics, cache events, health, orders, ranks. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Signal } from '../signal.js';
-import { addressOf, readJson, sendJson } from '../http.js';
+import { requestUrl, readJson, sendJson } from '../http.js';
 import type { Handler } from '../http.js';
 import { serveCompletion } from './completions.js';
 import type { Engine, OrderFault } from './engine.js';
@@ -166,7 +166,7 @@
     const { memory } = engine;
     while (engine.faults.frozen && engine.alive) await changed.wait();
     if (engine.memory !== memory) return;
-    const { pathname } = addressOf(req);
+    const { pathname } = requestUrl(req);
     if (req.method === 'POST' && pathname === '/v1/completions') {
       await serveCompletion(engine, req, res);
       return;
--- a/packages/stand-ins/src/engine/oracle.ts
+++ b/packages/stand-ins/src/engine/oracle.ts
@@ -1,5 +1,5 @@
 import { createHistogram } from '../histogram.js';
-import type { HistogramFigures } from '../histogram.js';
+import type { HistogramStats } from '../histogram.js';
 
 /** What every rank did in one step. */
 export interface StepRecord {
@@ -24,10 +24,10 @@
   splitSteps: number;
   /** Number of steps by map version. */
   stepsByVersion: Record<string, number>;
-  skewUs: HistogramFigures;
-  stepUs: HistogramFigures;
+  skewUs: HistogramStats;
+  stepUs: HistogramStats;
   /** Times that a group stood still for holds, and their lengths. */
-  holdUs: HistogramFigures;
+  holdUs: HistogramStats;
   /** The last steps, oldest first. */
   recent: StepRecord[];
 }
@@ -83,9 +83,9 @@
       mixed,
       splitSteps,
       stepsByVersion: { ...stepsByVersion },
-      skewUs: skew.figures(),
-      stepUs: duration.figures(),
-      holdUs: hold.figures(),
+      skewUs: skew.stats(),
+      stepUs: duration.stats(),
+      holdUs: hold.stats(),
       recent: last > 0 ? recent.slice(-last) : [],
     }),
     reset: () => {
--- a/packages/stand-ins/src/histogram.ts
+++ b/packages/stand-ins/src/histogram.ts
@@ -1,7 +1,7 @@
 import { build } from 'hdr-histogram-js';
 
-/** Figures of a histogram, in the unit of its values. */
-export interface HistogramFigures {
+/** Statistics of a histogram, in the unit of its values. */
+export interface HistogramStats {
   count: number;
   mean: number;
   p50: number;
@@ -10,14 +10,14 @@
   max: number;
 }
 
-/** A histogram of whole numbers. */
-export interface FigureHistogram {
+/** A histogram of integers. */
+export interface Histogram {
   record(value: number): void;
-  figures(): HistogramFigures;
+  stats(): HistogramStats;
 }
 
-/** Creates an empty histogram with two significant digits. */
-export const createHistogram = (): FigureHistogram => {
+/** Creates an empty histogram with a precision of two significant digits. */
+export const createHistogram = (): Histogram => {
   const histogram = build({
     lowestDiscernibleValue: 1,
     highestTrackableValue: 3_600_000_000,
@@ -25,7 +25,7 @@
   });
   return {
     record: (value) => histogram.recordValue(Math.max(0, Math.round(value))),
-    figures: () => ({
+    stats: () => ({
       count: histogram.totalCount,
       mean: histogram.totalCount > 0 ? Math.round(histogram.mean) : 0,
       p50: histogram.getValueAtPercentile(50),
--- a/packages/stand-ins/src/http.ts
+++ b/packages/stand-ins/src/http.ts
@@ -1,20 +1,20 @@
-/** The few HTTP helpers that every stand-in shares. */
+/** HTTP helpers shared by the stand-ins. */
 import { createServer } from 'node:http';
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 
-/** Serves one request; a rejection becomes a 500. */
+/** Handles one request; a rejection results in a 500 response. */
 export type Handler = (req: IncomingMessage, res: ServerResponse) => Promise<void> | void;
 
-/** A listening server on the loopback address. */
+/** An HTTP server that listens on the loopback address. */
 export interface StandInServer {
   readonly url: string;
   readonly port: number;
-  /** Destroys every connection and stops listening. */
+  /** Stops listening and closes all connections. */
   close(): Promise<void>;
 }
 
-/** Listens on 127.0.0.1; port 0 takes a free one. */
+/** Listens on 127.0.0.1; port 0 selects a free port. */
 export const listen = async (handler: Handler, port = 0): Promise<StandInServer> => {
   const server = createServer(async (req, res) => {
     try {
@@ -28,10 +28,10 @@
     server.once('error', reject);
     server.listen(port, '127.0.0.1', resolve);
   });
-  const bound = (server.address() as AddressInfo).port;
+  const boundPort = (server.address() as AddressInfo).port;
   return {
-    url: `http://127.0.0.1:${bound}`,
-    port: bound,
+    url: `http://127.0.0.1:${boundPort}`,
+    port: boundPort,
     close: () =>
       new Promise((resolve) => {
         server.close(() => resolve());
@@ -40,23 +40,23 @@
   };
 };
 
-/** The path and query of a request. */
-export const addressOf = (req: IncomingMessage): URL => new URL(req.url ?? '/', 'http://stand-in');
+/** Parses a request's path and query. */
+export const requestUrl = (req: IncomingMessage): URL => new URL(req.url ?? '/', 'http://stand-in');
 
-/** Reads the whole body. */
+/** Reads the full request body. */
 export const readBody = async (req: IncomingMessage): Promise<Buffer> => {
   const chunks: Buffer[] = [];
   for await (const chunk of req) chunks.push(chunk as Buffer);
   return Buffer.concat(chunks);
 };
 
-/** Reads a JSON body; an empty one is an empty object. */
+/** Reads a JSON body; an empty body yields an empty object. */
 export const readJson = async <T>(req: IncomingMessage): Promise<T> => {
   const body = await readBody(req);
   return JSON.parse(body.length > 0 ? body.toString('utf8') : '{}') as T;
 };
 
-/** Sends a JSON answer. */
+/** Sends a JSON response. */
 export const sendJson = (
   res: ServerResponse,
   status: number,
@@ -67,8 +67,8 @@
   res.end(JSON.stringify(value));
 };
 
-/** One header as a string. */
-export const headerOf = (req: IncomingMessage, name: string): string | undefined => {
+/** Returns a header's value; the first one if it is repeated. */
+export const getHeader = (req: IncomingMessage, name: string): string | undefined => {
   const value = req.headers[name];
   return Array.isArray(value) ? value[0] : value;
 };
--- a/packages/stand-ins/src/index.ts
+++ b/packages/stand-ins/src/index.ts
@@ -5,7 +5,7 @@
 export * from './engine/oracle.js';
 export * from './engine/popularity.js';
 export * from './engine/text.js';
-export * from './gate.js';
+export * from './fault-injector.js';
 export * from './histogram.js';
 export * from './load/answer-check.js';
 export * from './load/balancer.js';
--- a/packages/stand-ins/src/load/report.ts
+++ b/packages/stand-ins/src/load/report.ts
@@ -1,4 +1,4 @@
-import type { FigureHistogram, HistogramFigures } from '../histogram.js';
+import type { Histogram, HistogramStats } from '../histogram.js';
 import { createHistogram } from '../histogram.js';
 import type { CallOutcome } from './answer-check.js';
 import type { CallResult } from './send.js';
@@ -12,12 +12,12 @@
   /** Answered within the stream's target. */
   inTime: number;
   /** To the first token of a stream, or the whole of another answer. */
-  firstUs: HistogramFigures;
+  firstUs: HistogramStats;
   /** Between two tokens of a stream. */
-  betweenUs: HistogramFigures;
-  wholeUs: HistogramFigures;
+  betweenUs: HistogramStats;
+  wholeUs: HistogramStats;
   /** Until a refusal was there. */
-  refusalUs: HistogramFigures;
+  refusalUs: HistogramStats;
 }
 
 /** What a load has seen so far. */
@@ -46,10 +46,10 @@
     error: 0,
   };
   const reasons: Record<string, number> = {};
-  const first: FigureHistogram = createHistogram();
-  const between: FigureHistogram = createHistogram();
-  const whole: FigureHistogram = createHistogram();
-  const refusal: FigureHistogram = createHistogram();
+  const first: Histogram = createHistogram();
+  const between: Histogram = createHistogram();
+  const whole: Histogram = createHistogram();
+  const refusal: Histogram = createHistogram();
   let sent = 0;
   let inTime = 0;
 
@@ -78,10 +78,10 @@
       outcomes: { ...outcomes },
       reasons: { ...reasons },
       inTime,
-      firstUs: first.figures(),
-      betweenUs: between.figures(),
-      wholeUs: whole.figures(),
-      refusalUs: refusal.figures(),
+      firstUs: first.stats(),
+      betweenUs: between.stats(),
+      wholeUs: whole.stats(),
+      refusalUs: refusal.stats(),
     }),
   };
 };
--- a/packages/stand-ins/src/log/log-stand-in.ts
+++ b/packages/stand-ins/src/log/log-stand-in.ts
@@ -2,9 +2,9 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Clock } from '@plantaindrum/common';
 import { systemClock } from '@plantaindrum/common';
-import type { PlatformFaults } from '../gate.js';
-import { createGate } from '../gate.js';
-import { addressOf, headerOf, listen, readJson, sendJson } from '../http.js';
+import type { PlatformFaults } from '../fault-injector.js';
+import { createFaultInjector } from '../fault-injector.js';
+import { requestUrl, getHeader, listen, readJson, sendJson } from '../http.js';
 import { createSignal } from '../signal.js';
 import { createTokenBucket } from '../token-bucket.js';
 import type { Partition, Retention } from './partition.js';
@@ -56,7 +56,7 @@
   const retention: Retention = { records: Infinity, ms: Infinity, ...options.retention };
   const partitions = new Map<string, Partition>();
   const bucket = createTokenBucket(clock, appendsPerSecond, appendsPerSecond);
-  const gate = createGate(clock);
+  const faultInjector = createFaultInjector(clock);
   const appended = createSignal();
   const progressed = createSignal();
   const stats: LogStats = {
@@ -77,7 +77,7 @@
   };
 
   const countAppend = (req: IncomingMessage, records: number): void => {
-    const client = headerOf(req, 'x-client') ?? '';
+    const client = getHeader(req, 'x-client') ?? '';
     stats.appends += 1;
     stats.records += records;
     stats.appendsByClient[client] = (stats.appendsByClient[client] ?? 0) + 1;
@@ -90,7 +90,7 @@
     index: number,
   ): Promise<void> => {
     const body = await readJson<{ records: { key?: unknown; value: unknown }[] }>(req);
-    if (!(await gate.pass(req, res, 'append'))) return;
+    if (!(await faultInjector.admit(req, res, 'append'))) return;
     const waitMs = bucket.take(1);
     if (waitMs > 0) {
       stats.rateLimited += 1;
@@ -106,7 +106,7 @@
     countAppend(req, offsets.length);
     appended.notify();
     progressed.notify();
-    if (gate.losesAnswer()) {
+    if (faultInjector.consumeLostAnswer()) {
       stats.answersLost += 1;
       req.socket.destroy();
       return;
@@ -131,7 +131,7 @@
       res.once('close', resolve);
       stops = [
         appended.listen(check),
-        gate.changed.listen(resolve),
+        faultInjector.faultsChanged.listen(resolve),
         clock.after(timeoutMs, resolve),
       ];
     });
@@ -145,8 +145,8 @@
     topic: string,
     index: number,
   ): Promise<void> => {
-    if (!(await gate.pass(req, res, 'read'))) return;
-    const query = addressOf(req).searchParams;
+    if (!(await faultInjector.admit(req, res, 'read'))) return;
+    const query = requestUrl(req).searchParams;
     const offset = Number(query.get('offset') ?? 0);
     const timeoutMs = Number(query.get('timeout') ?? 0);
     const maxBytes = Number(query.get('max_bytes') ?? DEFAULT_MAX_BYTES);
@@ -154,7 +154,7 @@
     stats.reads += 1;
     if (partition.end() === offset && timeoutMs > 0) {
       await awaitRecord(res, partition, offset, timeoutMs);
-      if (!(await gate.pass(req, res, 'read'))) return;
+      if (!(await faultInjector.admit(req, res, 'read'))) return;
     }
     if (offset < partition.begin() || offset > partition.end()) {
       sendJson(res, 404, { error_code: OFFSET_OUT_OF_RANGE, message: 'offset out of range' });
@@ -169,13 +169,13 @@
     topic: string,
     index: number,
   ): Promise<void> => {
-    if (!(await gate.pass(req, res, 'read'))) return;
+    if (!(await faultInjector.admit(req, res, 'read'))) return;
     const partition = partitionOf(topic, index);
     sendJson(res, 200, { beginning_offset: partition.begin(), end_offset: partition.end() });
   };
 
   const control = async (req: IncomingMessage, res: ServerResponse): Promise<void> => {
-    if (await gate.serve(req, res)) return;
+    if (await faultInjector.serveFaults(req, res)) return;
     if (req.method === 'POST' && req.url === '/expire') {
       const body = await readJson<{ topic: string; partition?: number; before: number }>(req);
       partitionOf(body.topic, body.partition ?? 0).expire(body.before);
@@ -187,7 +187,7 @@
   };
 
   const server = await listen(async (req, res) => {
-    const found = RECORDS_PATH.exec(addressOf(req).pathname);
+    const found = RECORDS_PATH.exec(requestUrl(req).pathname);
     if (!found) {
       await control(req, res);
       return;
@@ -201,7 +201,7 @@
 
   return {
     url: server.url,
-    setFaults: gate.set,
+    setFaults: faultInjector.setFaults,
     expire: (topic, index, before) => partitionOf(topic, index).expire(before),
     records: (topic, index = 0) => partitionOf(topic, index).read(0, Infinity),
     stats: () => structuredClone(stats),
--- a/packages/stand-ins/src/main.ts
+++ b/packages/stand-ins/src/main.ts
@@ -1,4 +1,4 @@
-/** Starts a stand-in as a process; prints one JSON line when it is ready, ends on SIGTERM. */
+/** Runs a stand-in as a process: prints one JSON line when it is ready, exits on SIGTERM or SIGINT. */
 import yargs from 'yargs';
 import { hideBin } from 'yargs/helpers';
 import { createEngineGroupStandIn } from './engine/group-stand-in.js';
@@ -11,17 +11,17 @@
   close(): Promise<void>;
 }
 
-const report = (addresses: Record<string, unknown>): void => {
+const printReady = (addresses: Record<string, unknown>): void => {
   process.stdout.write(`${JSON.stringify({ ready: true, ...addresses })}\n`);
 };
 
-const closeOnSignal = (parts: Closable[]): void => {
-  const end = async (): Promise<void> => {
-    await Promise.all(parts.map((part) => part.close()));
+const closeOnExitSignal = (standIns: Closable[]): void => {
+  const shutDown = async (): Promise<void> => {
+    await Promise.all(standIns.map((part) => part.close()));
     process.exit(0);
   };
-  process.once('SIGTERM', end);
-  process.once('SIGINT', end);
+  process.once('SIGTERM', shutDown);
+  process.once('SIGINT', shutDown);
 };
 
 await yargs(hideBin(process.argv))
@@ -35,7 +35,11 @@
         .option('appends-per-second', { type: 'number', default: 400 })
         .option('retention-ms', { type: 'number', default: Infinity })
         .option('retention-records', { type: 'number', default: Infinity })
-        .option('lag-ms', { type: 'number', default: 1000, describe: 'lag of the VM list' })
+        .option('lag-ms', {
+          type: 'number',
+          default: 1000,
+          describe: 'delay until changes of the VM list are visible',
+        })
         .option('expert-bytes', { type: 'number', default: 65_536 })
         .option('bytes-per-second', { type: 'number', default: 64_000_000 }),
     async (argv) => {
@@ -49,13 +53,13 @@
         expertBytes: argv.expertBytes,
         bytesPerSecond: argv.bytesPerSecond,
       });
-      closeOnSignal([log, vms, weights]);
-      report({ log: log.url, vms: vms.url, weights: weights.url });
+      closeOnExitSignal([log, vms, weights]);
+      printReady({ log: log.url, vms: vms.url, weights: weights.url });
     },
   )
   .command(
     'engines',
-    'a group of engines that step together',
+    'a group of engines that run every step together',
     (args) =>
       args
         .option('engines', { type: 'number', default: 1 })
@@ -77,18 +81,18 @@
         .option('metrics-lag-ms', { type: 'number', default: 1000 }),
     async (argv) => {
       const group = await createEngineGroupStandIn(argv);
-      closeOnSignal([group]);
-      report({ engines: group.engines, control: group.control });
+      closeOnExitSignal([group]);
+      printReady({ engines: group.engines, control: group.control });
     },
   )
   .command(
     'service',
-    'a plain service that counts its calls',
+    'an HTTP service that counts its calls',
     (args) => args.option('service-time-ms', { type: 'number', default: 5 }),
     async (argv) => {
       const service = await createServiceStandIn({ serviceTimeMs: argv.serviceTimeMs });
-      closeOnSignal([service]);
-      report({ url: service.url, control: service.control });
+      closeOnExitSignal([service]);
+      printReady({ url: service.url, control: service.control });
     },
   )
   .demandCommand(1)
--- a/packages/stand-ins/src/service-stand-in.ts
+++ b/packages/stand-ins/src/service-stand-in.ts
@@ -1,26 +1,26 @@
-/** A plain service that counts how often each call really ran. */
+/** An HTTP service that counts how often each call actually ran. */
 import { createHash } from 'node:crypto';
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Clock } from '@plantaindrum/common';
 import { sleep, systemClock } from '@plantaindrum/common';
-import { addressOf, headerOf, listen, readBody, readJson, sendJson } from './http.js';
+import { requestUrl, getHeader, listen, readBody, readJson, sendJson } from './http.js';
 import { createSignal } from './signal.js';
 
-/** Faults of the service, all off by default. */
+/** Faults that the service can simulate, all off by default. */
 export interface ServiceFaults {
-  /** The next so many calls are reset before they run. */
+  /** Number of upcoming calls whose connection is reset before they run. */
   resetBefore: number;
-  /** The next so many calls run, then are reset without an answer. */
+  /** Number of upcoming calls that run but whose connection is reset before the response. */
   resetAfter: number;
-  /** The next so many calls run, then answer only half of the body. */
+  /** Number of upcoming calls that run but whose connection is reset after half of the body. */
   breakOff: number;
-  /** Calls wait, before they run, until this is false again. */
+  /** While true, calls wait before they run. */
   hold: boolean;
-  /** Every call answers 503 without running. */
+  /** Every call gets a 503 response without running. */
   outage: boolean;
 }
 
-/** Options of the service. */
+/** Options of `createServiceStandIn`. */
 export interface ServiceStandInOptions {
   port?: number;
   controlPort?: number;
@@ -28,24 +28,24 @@
   serviceTimeMs?: number;
 }
 
-/** How often calls ran. */
+/** Number of calls that ran, and of calls in flight. */
 export interface ServiceCounts {
   total: number;
-  /** Calls that are inside the service now. */
+  /** Calls received and not yet completed. */
   inFlight: number;
   byKey: Record<string, number>;
   byPath: Record<string, number>;
 }
 
-/** The running service. */
+/** A running service. */
 export interface ServiceStandIn {
   readonly url: string;
   readonly control: string;
   setFaults(change: Partial<ServiceFaults>): void;
   setServiceTime(ms: number): void;
   counts(): ServiceCounts;
-  /** Resolves when `holds` is true of the counts; checked at each arrival and effect. */
-  waitFor(holds: (counts: ServiceCounts) => boolean): Promise<void>;
+  /** Resolves when `predicate` returns true; checked whenever the counts or faults change. */
+  waitFor(predicate: (counts: ServiceCounts) => boolean): Promise<void>;
   close(): Promise<void>;
 }
 
@@ -54,7 +54,7 @@
   counts[key] = (counts[key] ?? 0) + 1;
 };
 
-/** Starts a service; its control address serves `GET /counts`, `POST /faults`, `POST /time`. */
+/** Starts a service; its control server has `GET /counts`, `POST /faults` and `POST /time`. */
 export const createServiceStandIn = async (
   options: ServiceStandInOptions = {},
 ): Promise<ServiceStandIn> => {
@@ -75,7 +75,7 @@
     progressed.notify();
   };
 
-  const uses = (fault: 'resetBefore' | 'resetAfter' | 'breakOff'): boolean => {
+  const consumeFault = (fault: 'resetBefore' | 'resetAfter' | 'breakOff'): boolean => {
     if (faults[fault] <= 0) return false;
     faults[fault] -= 1;
     return true;
@@ -88,26 +88,26 @@
     progressed.notify();
   };
 
-  const run = async (req: IncomingMessage, res: ServerResponse): Promise<void> => {
+  const handleCall = async (req: IncomingMessage, res: ServerResponse): Promise<void> => {
     const body = await readBody(req);
     if (faults.outage) {
       sendJson(res, 503, { error: 'outage' });
       return;
     }
     while (faults.hold) await progressed.wait();
-    if (uses('resetBefore')) {
+    if (consumeFault('resetBefore')) {
       req.socket.destroy();
       return;
     }
-    const key = headerOf(req, 'idempotency-key');
-    const { pathname } = addressOf(req);
+    const key = getHeader(req, 'idempotency-key');
+    const { pathname } = requestUrl(req);
     if (serviceTimeMs > 0) await sleep(clock, serviceTimeMs);
     count(key, pathname);
-    if (uses('resetAfter')) {
+    if (consumeFault('resetAfter')) {
       req.socket.destroy();
       return;
     }
-    const answer = JSON.stringify({
+    const response = JSON.stringify({
       method: req.method,
       path: pathname,
       key: key ?? null,
@@ -115,27 +115,27 @@
     });
     res.writeHead(200, {
       'content-type': 'application/json',
-      'content-length': String(answer.length),
+      'content-length': String(response.length),
     });
-    if (uses('breakOff')) {
-      res.write(answer.slice(0, answer.length / 2), () => req.socket.destroy());
+    if (consumeFault('breakOff')) {
+      res.write(response.slice(0, response.length / 2), () => req.socket.destroy());
       return;
     }
-    res.end(answer);
+    res.end(response);
   };
 
-  const serve = async (req: IncomingMessage, res: ServerResponse): Promise<void> => {
+  const serveCall = async (req: IncomingMessage, res: ServerResponse): Promise<void> => {
     counts.inFlight += 1;
     progressed.notify();
     try {
-      await run(req, res);
+      await handleCall(req, res);
     } finally {
       counts.inFlight -= 1;
       progressed.notify();
     }
   };
 
-  const control = async (req: IncomingMessage, res: ServerResponse): Promise<void> => {
+  const serveControl = async (req: IncomingMessage, res: ServerResponse): Promise<void> => {
     if (req.method === 'POST' && req.url === '/faults') {
       setFaults(await readJson<Partial<ServiceFaults>>(req));
       sendJson(res, 200, faults);
@@ -149,8 +149,8 @@
     sendJson(res, req.url === '/counts' ? 200 : 404, counts);
   };
 
-  const server = await listen(serve, options.port ?? 0);
-  const controlServer = await listen(control, options.controlPort ?? 0);
+  const server = await listen(serveCall, options.port ?? 0);
+  const controlServer = await listen(serveControl, options.controlPort ?? 0);
   return {
     url: server.url,
     control: controlServer.url,
@@ -159,8 +159,8 @@
       serviceTimeMs = ms;
     },
     counts: () => structuredClone(counts),
-    waitFor: async (holds) => {
-      while (!holds(counts)) await progressed.wait();
+    waitFor: async (predicate) => {
+      while (!predicate(counts)) await progressed.wait();
     },
     close: async () => {
       setFaults({ hold: false });
--- a/packages/stand-ins/src/signal.ts
+++ b/packages/stand-ins/src/signal.ts
@@ -1,12 +1,12 @@
-/** A condition that tasks wait on: `notify` releases everyone who waits now. */
+/** A condition variable: `notify` wakes all tasks that are currently waiting. */
 export interface Signal {
   notify(): void;
   wait(): Promise<void>;
-  /** Calls `listener` at each `notify` until the returned function is called. */
+  /** Calls `listener` on each `notify` until the returned function is called. */
   listen(listener: () => void): () => void;
 }
 
-/** Creates a signal. */
+/** Creates a signal without listeners. */
 export const createSignal = (): Signal => {
   const listeners = new Set<() => void>();
   const listen = (listener: () => void): (() => void) => {
--- a/packages/stand-ins/src/token-bucket.ts
+++ b/packages/stand-ins/src/token-bucket.ts
@@ -1,12 +1,15 @@
 import type { Clock } from '@plantaindrum/common';
 
-/** A rate limit: takes succeed until the bucket is empty. */
+/** A token-bucket rate limiter. */
 export interface TokenBucket {
-  /** Takes `amount`; 0 when taken, else the milliseconds until it can be. */
+  /**
+   * Takes `amount` tokens and returns 0, or takes none and returns the milliseconds until they are
+   * available. An amount above `burst` needs a full bucket and leaves a negative level.
+   */
   take(amount: number): number;
 }
 
-/** Creates a bucket that refills at `perSecond` and holds at most `burst`. */
+/** Creates a full bucket that refills at `perSecond` and holds at most `burst` tokens. */
 export const createTokenBucket = (clock: Clock, perSecond: number, burst: number): TokenBucket => {
   let level = burst;
   let filledAt = clock.monotonic();
--- a/packages/stand-ins/src/vm-list-stand-in.ts
+++ b/packages/stand-ins/src/vm-list-stand-in.ts
@@ -1,31 +1,31 @@
-/** The VM list: Prometheus HTTP service discovery that shows the past. */
+/** The VM list: Prometheus HTTP service discovery whose changes become visible after a delay. */
 import { createHash } from 'node:crypto';
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Clock } from '@plantaindrum/common';
 import { systemClock } from '@plantaindrum/common';
-import type { PlatformFaults } from './gate.js';
-import { createGate } from './gate.js';
-import { addressOf, listen, readJson, sendJson } from './http.js';
+import type { PlatformFaults } from './fault-injector.js';
+import { createFaultInjector } from './fault-injector.js';
+import { requestUrl, listen, readJson, sendJson } from './http.js';
 import { createLagged } from './lagged.js';
 
-/** One entry of the list. */
+/** One target group of the list. */
 export interface VmTarget {
   targets: string[];
   labels: Record<string, string>;
 }
 
-/** Options of the VM list. */
+/** Options of `createVmListStandIn`. */
 export interface VmListStandInOptions {
   port?: number;
   clock?: Clock;
-  /** How far behind the truth readers are. */
+  /** Delay until readers see a change. */
   lagMs?: number;
   vms?: VmTarget[];
 }
 
-/** The running VM list. */
+/** A running VM list. */
 export interface VmListStandIn {
-  /** Full address of the list. */
+  /** URL of the list, including its path. */
   readonly url: string;
   setVms(vms: VmTarget[]): void;
   setLag(lagMs: number): void;
@@ -46,16 +46,16 @@
   res.writeHead(200, { 'content-type': 'application/json', etag }).end(text);
 };
 
-/** Starts a VM list; `PUT` on its address sets the truth, `POST /lag` `{"lagMs":n}` the lag. */
+/** Starts a VM list; `PUT` on its URL replaces the VMs, `POST /lag` `{"lagMs":n}` sets the delay. */
 export const createVmListStandIn = async (
   options: VmListStandInOptions = {},
 ): Promise<VmListStandIn> => {
   const { clock = systemClock, lagMs = 0, port = 0, vms = [] } = options;
   const list = createLagged<VmTarget[]>(clock, vms, lagMs);
-  const gate = createGate(clock);
+  const faultInjector = createFaultInjector(clock);
   const server = await listen(async (req, res) => {
-    if (await gate.serve(req, res)) return;
-    const { pathname } = addressOf(req);
+    if (await faultInjector.serveFaults(req, res)) return;
+    const { pathname } = requestUrl(req);
     if (req.method === 'POST' && pathname.endsWith('/lag')) {
       list.setLag((await readJson<{ lagMs: number }>(req)).lagMs);
       sendJson(res, 200, {});
@@ -70,13 +70,13 @@
       sendJson(res, 200, {});
       return;
     }
-    if (await gate.pass(req, res, 'read')) sendList(req, res, list.get());
+    if (await faultInjector.admit(req, res, 'read')) sendList(req, res, list.get());
   }, port);
   return {
     url: `${server.url}/vms`,
     setVms: list.set,
     setLag: list.setLag,
-    setFaults: gate.set,
+    setFaults: faultInjector.setFaults,
     close: server.close,
   };
 };
--- a/packages/stand-ins/src/weight-store-stand-in.ts
+++ b/packages/stand-ins/src/weight-store-stand-in.ts
@@ -1,16 +1,16 @@
-/** The weight store: HTTP with ranges under a rate limit over all readers. */
+/** The weight store: HTTP with range requests and one rate limit for all readers. */
 import { createHash } from 'node:crypto';
 import type { Clock } from '@plantaindrum/common';
 import { systemClock } from '@plantaindrum/common';
-import type { PlatformFaults } from './gate.js';
-import { createGate } from './gate.js';
-import { addressOf, headerOf, listen, readJson, sendJson } from './http.js';
+import type { PlatformFaults } from './fault-injector.js';
+import { createFaultInjector } from './fault-injector.js';
+import { requestUrl, getHeader, listen, readJson, sendJson } from './http.js';
 import { createTokenBucket } from './token-bucket.js';
 
 const WEIGHTS_PATH = /^\/weights\/([^/]+)\/(\d+)\/(\d+)$/;
 const RANGE = /^bytes=(\d+)-(\d*)$/;
 
-/** Options of the weight store. */
+/** Options of `createWeightStoreStandIn`. */
 export interface WeightStoreStandInOptions {
   port?: number;
   clock?: Clock;
@@ -19,7 +19,7 @@
   bytesPerSecond?: number;
 }
 
-/** What the store has served. */
+/** Counters of the store. */
 export interface WeightStoreStats {
   requests: number;
   bytes: number;
@@ -27,17 +27,17 @@
   brokenOff: number;
 }
 
-/** The running weight store. */
+/** A running weight store. */
 export interface WeightStoreStandIn {
   readonly url: string;
   setFaults(change: Partial<PlatformFaults>): void;
-  /** The next `count` answers break off in the middle of the body. */
+  /** Resets the connection of the next `count` responses after half of the body. */
   breakOff(count: number): void;
   stats(): WeightStoreStats;
   close(): Promise<void>;
 }
 
-/** The weights of one expert: the same bytes at every read. */
+/** The weights of one expert; deterministic for a path. */
 export const weightsOf = (path: string, bytes: number): Buffer => {
   const seed = createHash('sha256').update(path).digest();
   return Buffer.alloc(bytes, seed);
@@ -45,33 +45,33 @@
 
 const rangeOf = (header: string | undefined, size: number): [number, number] | 'none' | 'bad' => {
   if (header === undefined) return 'none';
-  const found = RANGE.exec(header);
-  if (!found) return 'none';
-  const first = Number(found[1]);
-  const last = found[2] ? Math.min(Number(found[2]), size - 1) : size - 1;
+  const match = RANGE.exec(header);
+  if (!match) return 'none';
+  const first = Number(match[1]);
+  const last = match[2] ? Math.min(Number(match[2]), size - 1) : size - 1;
   return first > last ? 'bad' : [first, last];
 };
 
-/** Starts a weight store; `POST /break-off` `{"count":n}` and `GET /stats` besides the faults. */
+/** Starts a weight store; besides `/faults` it has `POST /break-off` `{"count":n}` and `GET /stats`. */
 export const createWeightStoreStandIn = async (
   options: WeightStoreStandInOptions = {},
 ): Promise<WeightStoreStandIn> => {
   const { clock = systemClock, expertBytes = 65_536, bytesPerSecond = 64_000_000 } = options;
-  const gate = createGate(clock);
+  const faultInjector = createFaultInjector(clock);
   const burst = Math.max(bytesPerSecond / 4, expertBytes);
   const bucket = createTokenBucket(clock, bytesPerSecond, burst);
   const stats: WeightStoreStats = { requests: 0, bytes: 0, rateLimited: 0, brokenOff: 0 };
-  let toBreak = 0;
+  let breakOffsLeft = 0;
 
   const server = await listen(async (req, res) => {
-    if (await gate.serve(req, res)) return;
-    const { pathname } = addressOf(req);
+    if (await faultInjector.serveFaults(req, res)) return;
+    const { pathname } = requestUrl(req);
     if (pathname === '/stats') {
       sendJson(res, 200, stats);
       return;
     }
     if (pathname === '/break-off') {
-      toBreak = (await readJson<{ count: number }>(req)).count;
+      breakOffsLeft = (await readJson<{ count: number }>(req)).count;
       sendJson(res, 200, {});
       return;
     }
@@ -79,8 +79,8 @@
       sendJson(res, 404, {});
       return;
     }
-    if (!(await gate.pass(req, res, 'read'))) return;
-    const range = rangeOf(headerOf(req, 'range'), expertBytes);
+    if (!(await faultInjector.admit(req, res, 'read'))) return;
+    const range = rangeOf(getHeader(req, 'range'), expertBytes);
     if (range === 'bad') {
       res.writeHead(416, { 'content-range': `bytes */${expertBytes}` }).end();
       return;
@@ -101,8 +101,8 @@
       'accept-ranges': 'bytes',
       ...(range === 'none' ? {} : { 'content-range': `bytes ${first}-${last}/${expertBytes}` }),
     });
-    if (toBreak > 0) {
-      toBreak -= 1;
+    if (breakOffsLeft > 0) {
+      breakOffsLeft -= 1;
       stats.brokenOff += 1;
       const half = body.subarray(0, Math.floor(length / 2));
       stats.bytes += half.length;
@@ -115,9 +115,9 @@
 
   return {
     url: server.url,
-    setFaults: gate.set,
+    setFaults: faultInjector.setFaults,
     breakOff: (count) => {
-      toBreak = count;
+      breakOffsLeft = count;
     },
     stats: () => ({ ...stats }),
     close: server.close,
--- a/packages/stand-ins/test/http.ts
+++ b/packages/stand-ins/test/http.ts
@@ -1,7 +1,7 @@
 import type { ManualClock } from '@plantaindrum/common';
 import { request } from 'undici';
 
-/** One answer, read whole. */
+/** An HTTP response with its full body. */
 export interface Answer {
   status: number;
   headers: Record<string, string | string[] | undefined>;
@@ -17,7 +17,7 @@
   }
 };
 
-/** Calls an address; a lost connection gives status 0. */
+/** Sends a request; a lost connection yields status 0. */
 export const call = async (
   url: string,
   options: {
@@ -41,7 +41,7 @@
   }
 };
 
-/** Moves the clock in steps of `ms`, with room for I/O between, until the promise has settled. */
+/** Advances the clock in steps of `ms` until the promise settles, letting I/O run in between. */
 export const advanceUntil = async (
   clock: ManualClock,
   ms: number,
--- a/packages/stand-ins/test/service.test.ts
+++ b/packages/stand-ins/test/service.test.ts
@@ -24,7 +24,7 @@
     expect({ answer: answer.json, counts: await counts() }).toMatchSnapshot();
   });
 
-  it('resets before the effect, after it, or in the middle of the answer', async () => {
+  it('resets the connection before the call runs, after it, or halfway through the response', async () => {
     service.setFaults({ resetBefore: 1 });
     expect((await run('before')).status).to.equal(0);
     service.setFaults({ resetAfter: 1 });
@@ -34,7 +34,7 @@
     expect((await counts()).byKey).to.deep.equal({ after: 1, broken: 1 });
   });
 
-  it('holds calls before they run until it is released', async () => {
+  it('holds calls back before they run until the hold fault is cleared', async () => {
     await call(`${service.control}/faults`, { body: { hold: true } });
     const held = run('held');
     await service.waitFor(({ inFlight }) => inFlight === 1);
@@ -43,7 +43,7 @@
     expect((await held).status).to.equal(200);
   });
 
-  it('answers 503 without running in an outage', async () => {
+  it('responds with 503 without running the call during an outage', async () => {
     service.setFaults({ outage: true });
     expect((await run('out')).status).to.equal(503);
     expect((await counts()).total).to.equal(0);
