--- a/packages/stand-ins/test/http.ts
+++ b/packages/stand-ins/test/http.ts
@@ -2,14 +2,14 @@
 import { request } from 'undici';
 
 /** An HTTP response with its full body. */
-export interface Answer {
+export interface HttpResponse {
   status: number;
   headers: Record<string, string | string[] | undefined>;
   text: string;
   json: any;
 }
 
-const parsed = (text: string): unknown => {
+const parseJson = (text: string): unknown => {
   try {
     return JSON.parse(text);
   } catch {
@@ -25,7 +25,7 @@
     body?: unknown;
     headers?: Record<string, string>;
   } = {},
-): Promise<Answer> => {
+): Promise<HttpResponse> => {
   const { body, headers, method = body === undefined ? 'GET' : 'POST' } = options;
   try {
     const res = await request(url, {
@@ -35,7 +35,7 @@
       reset: true,
     });
     const text = await res.body.text();
-    return { status: res.statusCode, headers: res.headers, text, json: parsed(text) };
+    return { status: res.statusCode, headers: res.headers, text, json: parseJson(text) };
   } catch {
     return { status: 0, headers: {}, text: '', json: undefined };
   }
--- a/packages/stand-ins/test/service.test.ts
+++ b/packages/stand-ins/test/service.test.ts
@@ -18,10 +18,10 @@
   const counts = async () => (await call(`${service.control}/counts`)).json;
 
   it('counts each run by key and path', async () => {
-    const answer = await run('a');
+    const response = await run('a');
     await run('a');
     await run('b');
-    expect({ answer: answer.json, counts: await counts() }).toMatchSnapshot();
+    expect({ answer: response.json, counts: await counts() }).toMatchSnapshot();
   });
 
   it('resets the connection before the call runs, after it, or halfway through the response', async () => {
