--- a/packages/stand-ins/src/fault-injector.ts
+++ b/packages/stand-ins/src/fault-injector.ts
@@ -1,4 +1,6 @@
-/** Faults that each platform stand-in can simulate, and the injector that applies them to requests. */
+/**
+ * Faults that each platform stand-in can simulate, and the injector that applies them to requests.
+ */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Clock } from '@plantaindrum/common';
 import { sleep } from '@plantaindrum/common';
@@ -9,7 +11,9 @@
 /** Kind of operation that a request performs on the platform. */
 export type Access = 'append' | 'read';
 
-/** Faults, all off by default. Clients are identified by their `x-client` header; `*` matches all. */
+/**
+ * Faults, all off by default. Clients are identified by their `x-client` header; `*` matches all.
+ */
 export interface PlatformFaults {
   /** Kinds of access that get a 503 response. */
   outage: 'none' | 'append' | 'read' | 'all';
@@ -19,7 +23,9 @@
   cutClients: string[];
   /** Clients that get no response; their connections are reset when the fault is lifted. */
   silentClients: string[];
-  /** Number of upcoming appends that take effect but whose connection is reset before the response. */
+  /**
+   * Number of upcoming appends that take effect but whose connection is reset before the response.
+   */
   loseAnswers: number;
 }
 
--- a/packages/stand-ins/src/load/answer-check.ts
+++ b/packages/stand-ins/src/load/answer-check.ts
@@ -1,4 +1,6 @@
-/** Checks that an answer is whole and the caller's own, against the text that its prompt implies. */
+/**
+ * Checks that an answer is whole and the caller's own, against the text that its prompt implies.
+ */
 import { createHash } from 'node:crypto';
 import { answerText, completionId, tokenText } from '../engine/text.js';
 
--- a/packages/stand-ins/src/log/log-stand-in.ts
+++ b/packages/stand-ins/src/log/log-stand-in.ts
@@ -1,4 +1,4 @@
-/** The log service: the Kafka REST interface over partitions in memory. */
+/** The log service: the Kafka REST interface backed by in-memory partitions. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Clock } from '@plantaindrum/common';
 import { systemClock } from '@plantaindrum/common';
@@ -19,38 +19,41 @@
 export interface LogStandInOptions {
   port?: number;
   clock?: Clock;
-  /** Appends (requests, not records) a second over all topics. */
+  /** Append requests (not records) per second, over all topics. */
   appendsPerSecond?: number;
   retention?: Partial<Retention>;
 }
 
-/** What the log has served, for measurements. */
+/** Counters of the log. */
 export interface LogStats {
   appends: number;
   records: number;
   reads: number;
-  /** Long polls that wait now. */
+  /** Long polls currently waiting. */
   polling: number;
   rateLimited: number;
   answersLost: number;
   appendsByClient: Record<string, number>;
 }
 
-/** The running log stand-in. */
+/** A running log stand-in. */
 export interface LogStandIn {
   readonly url: string;
   setFaults(change: Partial<PlatformFaults>): void;
-  /** Drops the records below `before`, as if the retention had passed. */
+  /** Deletes the records with offsets below `before`, as retention does. */
   expire(topic: string, partition: number, before: number): void;
-  /** The records still kept. */
+  /** Returns the retained records. */
   records(topic: string, partition?: number): unknown[];
   stats(): LogStats;
-  /** Resolves when `holds` is true of the figures; checked at each append and long poll. */
-  waitFor(holds: (stats: LogStats) => boolean): Promise<void>;
+  /**
+   * Resolves when `predicate` returns true; checked on each append and at the start of each long
+   * poll.
+   */
+  waitFor(predicate: (stats: LogStats) => boolean): Promise<void>;
   close(): Promise<void>;
 }
 
-/** Starts a log service. Besides the faults it serves `POST /expire` and `GET /stats`. */
+/** Starts a log service; besides `/faults` it serves `POST /expire` and `GET /stats`. */
 export const createLogStandIn = async (options: LogStandInOptions = {}): Promise<LogStandIn> => {
   const { clock = systemClock, appendsPerSecond = 400, port = 0 } = options;
   const retention: Retention = { records: Infinity, ms: Infinity, ...options.retention };
@@ -83,7 +86,7 @@
     stats.appendsByClient[client] = (stats.appendsByClient[client] ?? 0) + 1;
   };
 
-  const append = async (
+  const handleAppend = async (
     req: IncomingMessage,
     res: ServerResponse,
     topic: string,
@@ -114,14 +117,17 @@
     sendJson(res, 200, { offsets }, { 'content-type': CONTENT_TYPE });
   };
 
-  /** Waits until there is a record at `offset`, the time is over, or the faults change. */
+  /**
+   * Waits until a record at `offset` exists, the timeout expires, the faults change, or the reader
+   * disconnects.
+   */
   const awaitRecord = async (
     res: ServerResponse,
     partition: Partition,
     offset: number,
     timeoutMs: number,
   ): Promise<void> => {
-    let stops: (() => void)[] = [];
+    let cancels: (() => void)[] = [];
     stats.polling += 1;
     progressed.notify();
     await new Promise<void>((resolve) => {
@@ -129,17 +135,17 @@
         if (partition.end() > offset) resolve();
       };
       res.once('close', resolve);
-      stops = [
+      cancels = [
         appended.listen(check),
         faultInjector.faultsChanged.listen(resolve),
         clock.after(timeoutMs, resolve),
       ];
     });
-    stops.forEach((stop) => stop());
+    cancels.forEach((stop) => stop());
     stats.polling -= 1;
   };
 
-  const read = async (
+  const handleRead = async (
     req: IncomingMessage,
     res: ServerResponse,
     topic: string,
@@ -163,7 +169,7 @@
     sendJson(res, 200, partition.read(offset, maxBytes), { 'content-type': CONTENT_TYPE });
   };
 
-  const offsets = async (
+  const serveOffsets = async (
     req: IncomingMessage,
     res: ServerResponse,
     topic: string,
@@ -174,7 +180,7 @@
     sendJson(res, 200, { beginning_offset: partition.begin(), end_offset: partition.end() });
   };
 
-  const control = async (req: IncomingMessage, res: ServerResponse): Promise<void> => {
+  const serveControl = async (req: IncomingMessage, res: ServerResponse): Promise<void> => {
     if (await faultInjector.serveFaults(req, res)) return;
     if (req.method === 'POST' && req.url === '/expire') {
       const body = await readJson<{ topic: string; partition?: number; before: number }>(req);
@@ -187,16 +193,16 @@
   };
 
   const server = await listen(async (req, res) => {
-    const found = RECORDS_PATH.exec(requestUrl(req).pathname);
-    if (!found) {
-      await control(req, res);
+    const match = RECORDS_PATH.exec(requestUrl(req).pathname);
+    if (!match) {
+      await serveControl(req, res);
       return;
     }
-    const topic = decodeURIComponent(found[1] ?? '');
-    const index = Number(found[2]);
-    if (req.method === 'POST') await append(req, res, topic, index);
-    else if (found[3] === 'offsets') await offsets(req, res, topic, index);
-    else await read(req, res, topic, index);
+    const topic = decodeURIComponent(match[1] ?? '');
+    const index = Number(match[2]);
+    if (req.method === 'POST') await handleAppend(req, res, topic, index);
+    else if (match[3] === 'offsets') await serveOffsets(req, res, topic, index);
+    else await handleRead(req, res, topic, index);
   }, port);
 
   return {
@@ -205,8 +211,8 @@
     expire: (topic, index, before) => partitionOf(topic, index).expire(before),
     records: (topic, index = 0) => partitionOf(topic, index).read(0, Infinity),
     stats: () => structuredClone(stats),
-    waitFor: async (holds) => {
-      while (!holds(stats)) await progressed.wait();
+    waitFor: async (predicate) => {
+      while (!predicate(stats)) await progressed.wait();
     },
     close: server.close,
   };
--- a/packages/stand-ins/src/log/memory-log.ts
+++ b/packages/stand-ins/src/log/memory-log.ts
@@ -1,45 +1,52 @@
-/** The platform's log in memory, with faults and with time by hand, for tests of all packages. */
+/**
+ * An in-memory implementation of the platform's log with faults and a manual clock, for the tests
+ * of all packages.
+ */
 
 import { fail, ok, sleep } from '@plantaindrum/common';
 import type { ManualClock, Result } from '@plantaindrum/common';
 import type { Log, LogFailure, LogRecord } from '@plantaindrum/service-clients';
 
-/** What happens to one append; `late-effect` is lost for its caller and takes effect later. */
+/**
+ * Fault of one append; with `late-effect` the caller gets no result and the append takes effect
+ * later.
+ */
 export type AppendFault = 'none' | 'down' | 'lost-answer' | 'lost-request' | 'late-effect';
 
-/** Faults of one client's way to the log, or of the log itself. */
+/** Faults of one client's connection to the log, or of the log itself. */
 export interface LogFaults {
   down: boolean;
-  /** Every answer is this late, in milliseconds. */
+  /** Delay of every response, in milliseconds. */
   slowMs: number;
-  /** Records reach readers this much later than that, in milliseconds. */
+  /** Additional delay of the responses to reads, in milliseconds. */
   slowReadMs: number;
-  /** What happens to the next appends, in order. */
+  /** Faults of the next appends, in order. */
   appends: AppendFault[];
 }
 
-/** One client's way to the log, with faults of its own. */
+/** A client of the log with its own faults. */
 export interface MemoryLogClient extends Log {
   faults: LogFaults;
 }
 
-/** The log, shared by its clients. */
+/** A log shared by its clients. */
 export interface MemoryLog {
-  /** A client of the log; the faults of `log.faults` hold for all clients. */
+  /** Creates a client; its own faults apply in addition to `faults` below. */
   client(): MemoryLogClient;
+  /** Faults that apply to all clients. */
   faults: LogFaults;
-  /** Appends to the first partition, past all faults. */
+  /** Appends to the first partition, bypassing all faults. */
   append(value: unknown): number;
-  /** Records of all partitions. */
+  /** Retained records of all partitions. */
   readonly records: LogRecord[];
   values(): unknown[];
-  /** Calls that reached the log while it was up. */
+  /** Number of calls so far, whether or not they succeeded. */
   counts(): { appends: number; reads: number };
-  /** Drops every record below `beginning`, as retention does. */
+  /** Deletes all records below `beginning`, as retention does. */
   expire(beginning: number): void;
-  /** Drops all records, as retention does. */
+  /** Deletes all records, as retention does. */
   forgetAll(): void;
-  /** Forgets every record from `end` on, as a restore from an old copy does. */
+  /** Deletes all records from offset `end` on, as restoring an older copy does. */
   truncate(end: number): void;
   /** Offset of the next record of the first partition. */
   end(): number;
@@ -47,11 +54,11 @@
 
 /** Options of `createMemoryLog`. */
 export interface MemoryLogOptions {
-  /** Lets reads wait for records, and answers be late; without it reads return at once. */
+  /** Clock for long polls and delays; without it, reads return at once and nothing is delayed. */
   clock?: ManualClock;
-  /** Awaited around every effect, so that a test orders the effects. */
+  /** Awaited before and after each effect, so that a test can control the order of effects. */
   step?: (label: string) => Promise<void>;
-  /** Most records that one read returns. */
+  /** Maximum number of records that one read returns. */
   pageSize?: number;
 }
 
@@ -61,139 +68,139 @@
   next: number;
 }
 
-/** Topic and partition that `append` writes to when no client has named another yet. */
-const DEFAULT_NAME = 'first';
+/** Key of the partition that `append` writes to before a client has named one. */
+const UNNAMED_PARTITION = 'first';
 const RETRY_AFTER_MS = 500;
 
-const noFaults = (): LogFaults => ({ down: false, slowMs: 0, slowReadMs: 0, appends: [] });
+const createFaults = (): LogFaults => ({ down: false, slowMs: 0, slowReadMs: 0, appends: [] });
 
-const failed = (kind: LogFailure['kind']): { ok: false; err: LogFailure } =>
+const failure = (kind: LogFailure['kind']): { ok: false; err: LogFailure } =>
   fail({ kind, retryAfterMs: RETRY_AFTER_MS });
 
 /** Creates an empty log. */
 export const createMemoryLog = (options: MemoryLogOptions = {}): MemoryLog => {
-  const { clock, step = async () => {}, pageSize = 100 } = options;
+  const { clock, step: syncPoint = async () => {}, pageSize = 100 } = options;
   const partitions = new Map<string, Partition>();
-  const shared = noFaults();
+  const sharedFaults = createFaults();
   const counts = { appends: 0, reads: 0 };
-  let readers: (() => void)[] = [];
+  let waitingReaders: (() => void)[] = [];
 
   const firstPartition = (): Partition => {
     const [found] = partitions.values();
     const partition = found ?? { records: [], first: 0, next: 0 };
-    if (!found) partitions.set(DEFAULT_NAME, partition);
+    if (!found) partitions.set(UNNAMED_PARTITION, partition);
     return partition;
   };
 
   const partitionOf = (topic: string, partition: number): Partition => {
     const name = `${topic}/${partition}`;
-    const early = partitions.get(DEFAULT_NAME);
-    partitions.delete(DEFAULT_NAME);
-    const found = partitions.get(name) ?? early ?? { records: [], first: 0, next: 0 };
+    const unnamed = partitions.get(UNNAMED_PARTITION);
+    partitions.delete(UNNAMED_PARTITION);
+    const found = partitions.get(name) ?? unnamed ?? { records: [], first: 0, next: 0 };
     partitions.set(name, found);
     return found;
   };
 
-  const push = (to: Partition, value: unknown): number => {
+  const appendRecord = (to: Partition, value: unknown): number => {
     const offset = to.next;
     Object.assign(to, { next: offset + 1 });
     to.records.push({ offset, value: JSON.parse(JSON.stringify(value)) as unknown });
-    const woken = readers;
-    readers = [];
+    const woken = waitingReaders;
+    waitingReaders = [];
     woken.forEach((wake) => wake());
     return offset;
   };
 
-  const pause = async (ms: number): Promise<void> => {
+  const delay = async (ms: number): Promise<void> => {
     if (clock && ms > 0) await sleep(clock, ms);
   };
 
-  const nextRecord = async (by: ManualClock, waitMs: number): Promise<void> =>
+  const awaitNextRecord = async (by: ManualClock, waitMs: number): Promise<void> =>
     new Promise((resolve) => {
       const cancel = by.after(waitMs, resolve);
-      readers.push(() => {
+      waitingReaders.push(() => {
         cancel();
         resolve();
       });
     });
 
   const client = (): MemoryLogClient => {
-    const faults = noFaults();
-    const isDown = (): boolean => faults.down || shared.down;
+    const faults = createFaults();
+    const isDown = (): boolean => faults.down || sharedFaults.down;
 
-    const answer = async <T>(
+    const respond = async <T>(
       label: string,
       work: () => Promise<Result<T, LogFailure>>,
     ): Promise<Result<T, LogFailure>> => {
-      await step(label);
-      if (isDown()) return failed('unavailable');
+      await syncPoint(label);
+      if (isDown()) return failure('unavailable');
       const result = await work();
-      await pause(faults.slowMs + shared.slowMs);
-      return clock && isDown() ? failed('unknown') : result;
+      await delay(faults.slowMs + sharedFaults.slowMs);
+      return clock && isDown() ? failure('unknown') : result;
     };
 
     return {
       faults,
       offsets: (topic, partition) =>
-        answer('offsets', async () => {
+        respond('offsets', async () => {
           const { first, next } = partitionOf(topic, partition);
           return ok({ beginning: first, end: next });
         }),
       read: (topic, partition, offset, waitMs) => {
         counts.reads += 1;
-        return answer('read', async () => {
+        return respond('read', async () => {
           const from = partitionOf(topic, partition);
-          if (offset < from.first || offset > from.next) return failed('out-of-range');
-          if (clock && offset === from.next && waitMs > 0) await nextRecord(clock, waitMs);
-          await pause(faults.slowReadMs + shared.slowReadMs);
+          if (offset < from.first || offset > from.next) return failure('out-of-range');
+          if (clock && offset === from.next && waitMs > 0) await awaitNextRecord(clock, waitMs);
+          await delay(faults.slowReadMs + sharedFaults.slowReadMs);
           const found = from.records.filter((record) => record.offset >= offset);
-          await step('read answer');
+          await syncPoint('read answer');
           return ok(found.slice(0, pageSize));
         });
       },
       append: (topic, partition, values) => {
-        const fault = faults.appends.shift() ?? shared.appends.shift() ?? 'none';
+        const fault = faults.appends.shift() ?? sharedFaults.appends.shift() ?? 'none';
         const store = (): number[] => {
           const to = partitionOf(topic, partition);
-          return values.map((value) => push(to, value));
+          return values.map((value) => appendRecord(to, value));
         };
         counts.appends += 1;
-        return answer('append', async () => {
-          if (fault === 'down') return failed('unavailable');
-          if (fault === 'lost-request') return failed('unknown');
+        return respond('append', async () => {
+          if (fault === 'down') return failure('unavailable');
+          if (fault === 'lost-request') return failure('unknown');
           if (fault === 'late-effect') {
-            void step('late effect').then(store);
-            return failed('unknown');
+            void syncPoint('late effect').then(store);
+            return failure('unknown');
           }
           const offsets = store();
-          await step('append answer');
-          return fault === 'lost-answer' ? failed('unknown') : ok(offsets);
+          await syncPoint('append answer');
+          return fault === 'lost-answer' ? failure('unknown') : ok(offsets);
         });
       },
     };
   };
 
-  const each = (change: (partition: Partition) => Partial<Partition>): void =>
+  const updateEach = (change: (partition: Partition) => Partial<Partition>): void =>
     partitions.forEach((partition) => Object.assign(partition, change(partition)));
   const allRecords = (): LogRecord[] => [...partitions.values()].flatMap(({ records }) => records);
 
   return {
     client,
-    faults: shared,
-    append: (value) => push(firstPartition(), value),
+    faults: sharedFaults,
+    append: (value) => appendRecord(firstPartition(), value),
     get records() {
       return allRecords();
     },
     values: () => allRecords().map(({ value }) => value),
     counts: () => ({ ...counts }),
     expire: (beginning) =>
-      each(({ records, first, next }) => {
+      updateEach(({ records, first, next }) => {
         const kept = Math.max(first, Math.min(beginning, next));
         return { first: kept, records: records.filter(({ offset }) => offset >= kept) };
       }),
-    forgetAll: () => each(({ next }) => ({ first: next, records: [] })),
+    forgetAll: () => updateEach(({ next }) => ({ first: next, records: [] })),
     truncate: (end) =>
-      each(({ records }) => ({
+      updateEach(({ records }) => ({
         next: end,
         records: records.filter(({ offset }) => offset < end),
       })),
--- a/packages/stand-ins/src/log/partition.ts
+++ b/packages/stand-ins/src/log/partition.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '@plantaindrum/common';
 
-/** A record as readers get it. */
+/** A record in the format that readers receive. */
 export interface LogRecord {
   topic: string;
   partition: number;
@@ -9,20 +9,24 @@
   value: unknown;
 }
 
-/** How long records are kept; whichever bound is reached first. */
+/** Limits on the retained records, by count and by age; the first one reached applies. */
 export interface Retention {
   records: number;
   ms: number;
 }
 
-/** One partition: an append-only run of records, trimmed at its start by the retention. */
+/**
+ * One partition: an append-only sequence of records whose oldest entries are deleted by retention.
+ */
 export interface Partition {
   append(record: { key?: unknown; value: unknown }): number;
   begin(): number;
   end(): number;
-  /** Records from `offset` on, as many as fit `maxBytes`, at least one if there is one. */
+  /**
+   * Returns the records from `offset` on that fit into `maxBytes`, but at least one if any exists.
+   */
   read(offset: number, maxBytes: number): LogRecord[];
-  /** Drops every record below `offset`, as if the retention had passed. */
+  /** Deletes all records below `offset`, as retention does. */
   expire(offset: number): void;
 }
 
@@ -43,9 +47,9 @@
   };
 
   const trim = (): void => {
-    const oldest = clock.now() - retention.ms;
-    const aged = records.findIndex((entry) => entry.at > oldest);
-    expire(first + (aged < 0 ? records.length : aged));
+    const expiredUntil = clock.now() - retention.ms;
+    const firstKept = records.findIndex((entry) => entry.at > expiredUntil);
+    expire(first + (firstKept < 0 ? records.length : firstKept));
     expire(first + records.length - retention.records);
   };
 
@@ -63,14 +67,14 @@
     end: () => first + records.length,
     read: (offset, maxBytes) => {
       trim();
-      const answer: LogRecord[] = [];
+      const selected: LogRecord[] = [];
       let bytes = 0;
       for (const { size, record } of records.slice(Math.max(0, offset - first))) {
         bytes += size;
-        if (answer.length > 0 && bytes > maxBytes) break;
-        answer.push(record);
+        if (selected.length > 0 && bytes > maxBytes) break;
+        selected.push(record);
       }
-      return answer;
+      return selected;
     },
     expire,
   };
--- a/packages/stand-ins/src/main.ts
+++ b/packages/stand-ins/src/main.ts
@@ -1,4 +1,6 @@
-/** Runs a stand-in as a process: prints one JSON line when it is ready, exits on SIGTERM or SIGINT. */
+/**
+ * Runs a stand-in as a process: prints one JSON line when it is ready, exits on SIGTERM or SIGINT.
+ */
 import yargs from 'yargs';
 import { hideBin } from 'yargs/helpers';
 import { createEngineGroupStandIn } from './engine/group-stand-in.js';
--- a/packages/stand-ins/src/users-platform/operator-stand-in.ts
+++ b/packages/stand-ins/src/users-platform/operator-stand-in.ts
@@ -1,11 +1,14 @@
-/** What the users' operators, servers and VMs write on their platform, for worlds of tests. */
+/**
+ * Records and settings that the users' operators, servers and VMs write on their platform, for
+ * tests.
+ */
 
 import type { StoreStandIn } from './store-stand-in.js';
 
-/** Host that the routes of this desired state serve. */
+/** Host name of the routes in the desired state. */
 export const OPERATOR_HOST = 'h.example';
 
-/** Size of the expert group that the routes lead to. */
+/** Dimensions of the expert group behind the streaming route. */
 export interface OperatorGroup {
   sets: number;
   experts: number;
@@ -18,8 +21,8 @@
 });
 
 /**
- * Writes a desired state: routes `/safe/` and `/once/` to the service `book`, and `/gen/` to the
- * engines of `llm`, for one organisation with these keys.
+ * Publishes a desired state for one organisation with the given API keys: routes `/safe/` and
+ * `/once/` to the service `book`, and `/gen/` to the engines of the service `llm`.
  */
 export const putDesiredState = (
   store: StoreStandIn,
@@ -48,20 +51,20 @@
     tenants: [{ name: 'dealer', api_keys: keys }],
   });
 
-/** Lists a server as it lists itself. */
+/** Publishes the record that a server writes about itself. */
 export const listServer = (
   store: StoreStandIn,
   instance: string,
   service: string,
   address: string,
-  more: Readonly<Record<string, unknown>> = {},
+  overrides: Readonly<Record<string, unknown>> = {},
 ): void =>
   store.put('keyed.servers', instance, {
     ...{ service, address, zone: 'a', version: 'v1', slots: 8 },
-    ...{ state: 'ready', warmup_left_ms: 0, sequence: 1, ...more },
+    ...{ state: 'ready', warmup_left_ms: 0, sequence: 1, ...overrides },
   });
 
-/** One VM whose settings file is written. */
+/** Values for the settings file of one VM. */
 export interface VmSettings {
   node: string;
   ip: string;
@@ -70,10 +73,10 @@
   retryAllowance: number;
 }
 
-/** Variable that names the settings file to a program. */
+/** Environment variable with the path of the settings file. */
 export const SETTINGS_VARIABLE = 'PLANTAINDRUM_BOOT';
 
-/** The settings file of a VM. */
+/** Returns the text of a VM's settings file. */
 export const settingsText = (vm: VmSettings): string => `
 node_name = "${vm.node}"
 ip = "${vm.ip}"
@@ -97,17 +100,17 @@
 address = "127.0.0.1:${vm.storePort}"
 `;
 
-/** What a caller sends beside its request. */
+/** Headers that a caller sends with a request. */
 export const callerHeaders = (id: string, key: string, waitMs: number): Record<string, string> => ({
   ...{ host: OPERATOR_HOST, 'x-request-id': id },
   ...{ 'x-api-key': key, 'x-deadline-ms': String(waitMs) },
 });
 
-/** Whether an answer bears a server's receipt. */
+/** Returns whether a response carries the stamp of the server that handled it. */
 export const hasReceipt = (headers: Readonly<Record<string, unknown>>): boolean =>
   headers['x-server-stamp'] !== undefined;
 
-/** Fields by which a server refuses a request that is meant for another instance. */
+/** Headers that make a server refuse the request unless it is the given instance. */
 export const instanceHeaders = (instance: string): Record<string, string> => ({
   'X-Expect-Instance': instance,
 });
--- a/packages/stand-ins/src/users-platform/rank-orders.ts
+++ b/packages/stand-ins/src/users-platform/rank-orders.ts
@@ -1,21 +1,26 @@
-/** What a rank of the users' engines does with an order: their page's rules and what trials showed. */
+/**
+ * How a rank of the users' engines handles an order, by the documented rules and by observed
+ * behaviour.
+ */
 
-/** What a rank knows that orders depend on. */
+/** State of a rank that determines the outcome of orders. */
 export interface RankOrderState {
   epoch: number;
-  /** The last pass that was begun. */
+  /** Number of the last pass that was started. */
   step: number;
+  /** Version of the map in use. */
   map: number;
-  /** The one version that is prepared, and whether all its experts are copied. */
+  /** The prepared version, at most one, and whether all its experts have been copied. */
   prepared: number | undefined;
   isCopied: boolean;
-  /** The highest version that the rank has had. */
+  /** The highest map version that the rank has prepared or used. */
   highest: number;
   armed: { version: number; step: number } | undefined;
+  /** Number of the pass that must not start. */
   held: number | undefined;
 }
 
-/** An order as it arrives; one without an epoch holds in any. */
+/** An order as received; an order without an epoch is valid in any epoch. */
 export interface RankOrderRequest {
   op: string;
   epoch?: number | undefined;
@@ -23,40 +28,42 @@
   step?: number | undefined;
 }
 
-/** What comes of an order; `begun` prepares a version that is new to the rank. */
+/**
+ * Outcome of an order and its change of state; `begun` starts to prepare a version new to the rank.
+ */
 export interface RankOrderEffect {
   outcome: 'begun' | 'done' | 'refused' | 'unknown';
   change: Partial<Pick<RankOrderState, 'prepared' | 'highest' | 'armed' | 'held'>>;
 }
 
-const done = (change: RankOrderEffect['change'] = {}): RankOrderEffect => ({
+const succeeded = (change: RankOrderEffect['change'] = {}): RankOrderEffect => ({
   outcome: 'done',
   change,
 });
 const refused: RankOrderEffect = { outcome: 'refused', change: {} };
 
 const prepare = (state: RankOrderState, version: number): RankOrderEffect => {
-  if (state.prepared === version || state.map === version) return done();
+  if (state.prepared === version || state.map === version) return succeeded();
   if (state.armed || version <= state.highest) return refused;
   return { outcome: 'begun', change: { prepared: version, highest: version } };
 };
 
 const arm = (state: RankOrderState, version: number, step: number): RankOrderEffect => {
   const isReady = state.prepared === version && state.isCopied;
-  return isReady && step > state.step ? done({ armed: { version, step } }) : refused;
+  return isReady && step > state.step ? succeeded({ armed: { version, step } }) : refused;
 };
 
 const disarm = (state: RankOrderState, version: number): RankOrderEffect => {
   if (state.map === version) return refused;
-  return state.armed?.version === version ? done({ armed: undefined }) : done();
+  return state.armed?.version === version ? succeeded({ armed: undefined }) : succeeded();
 };
 
 const hold = (state: RankOrderState, step: number): RankOrderEffect => {
-  const isFree = state.held === undefined || state.held === step;
-  return isFree && step > state.step ? done({ held: step }) : refused;
+  const canHold = state.held === undefined || state.held === step;
+  return canHold && step > state.step ? succeeded({ held: step }) : refused;
 };
 
-/** Judges an order; the caller carries the change out. */
+/** Determines the effect of an order; the caller applies the change. */
 export const judgeRankOrder = (
   state: RankOrderState,
   { op, epoch, version = -1, step = -1 }: RankOrderRequest,
@@ -72,7 +79,7 @@
     case 'hold':
       return hold(state, step);
     case 'go':
-      return state.held === step ? done({ held: undefined }) : done();
+      return state.held === step ? succeeded({ held: undefined }) : succeeded();
     default:
       return { outcome: 'unknown', change: {} };
   }
--- a/packages/stand-ins/src/users-platform/server-stand-in.ts
+++ b/packages/stand-ins/src/users-platform/server-stand-in.ts
@@ -1,10 +1,10 @@
-/** A small stand-in of the users' model server: one rank that takes orders and answers requests. */
+/** A minimal stand-in for the users' model server: one rank that handles orders and requests. */
 
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { judgeRankOrder } from './rank-orders.js';
 
-/** State of the rank that the stand-in plays. */
+/** State of the rank that the stand-in simulates. */
 export interface RankState {
   epoch: number;
   step: number;
@@ -17,15 +17,17 @@
   counts: number[];
 }
 
-/** Ranks of one group, which step together. */
+/** The ranks of one group, which run each pass together. */
 export interface GroupStandIn {
   size: number;
   ranks: RankState[];
-  /** Begins the next pass unless a rank holds it; each rank picks experts by `picks`. */
+  /**
+   * Starts the next pass unless a rank holds it; each rank adds `picks` to its selection counts.
+   */
   pass(): void;
-  /** This rank has started again: the group opens in a new epoch with map 0. */
+  /** Simulates the restart of a rank: the group forms in a new epoch with map 0. */
   formAnew(rank: number): void;
-  /** Passes that began with different maps. */
+  /** Number of passes that started with different maps. */
   mixed(): number;
 }
 
@@ -34,36 +36,38 @@
   size: number;
   sets: number;
   experts: number;
-  /** Picks of each expert that one rank makes in a pass, set by set. */
+  /**
+   * Returns how often one rank selects each expert in a pass: one number per expert, set by set.
+   */
   picks: () => number[];
 }
 
-/** Creates a group with map 0: experts in turn. */
+/** Creates a group with map 0, which assigns the experts to the ranks round-robin. */
 export const createGroup = ({ size, sets, experts, picks }: GroupOptions): GroupStandIn => {
-  const inTurn = (rank: number): number[] =>
+  const assignRoundRobin = (rank: number): number[] =>
     Array.from({ length: experts }, (_, expert) => expert).filter((e) => e % size === rank);
-  const fresh = (rank: number): RankState => ({
+  const createRankState = (rank: number): RankState => ({
     epoch: 1,
     step: 0,
     map: 0,
     prepared: null,
     armed: null,
     held: null,
-    experts: Array.from({ length: sets }, () => inTurn(rank)),
+    experts: Array.from({ length: sets }, () => assignRoundRobin(rank)),
     preparedExperts: [],
     counts: new Array<number>(sets * experts).fill(0),
   });
-  const ranks = Array.from({ length: size }, (_, rank) => fresh(rank));
+  const ranks = Array.from({ length: size }, (_, rank) => createRankState(rank));
   let mixed = 0;
 
-  const begin = (rank: RankState, step: number): void => {
+  const beginPass = (rank: RankState, step: number): void => {
     const { armed, preparedExperts } = rank;
     const changes =
       armed?.step === step
         ? { map: armed.version, experts: preparedExperts, armed: null, prepared: null }
         : {};
-    const chosen = picks();
-    const counts = rank.counts.map((n, at) => n + (chosen[at] ?? 0));
+    const selected = picks();
+    const counts = rank.counts.map((n, at) => n + (selected[at] ?? 0));
     Object.assign(rank, changes, { step, counts });
   };
 
@@ -73,14 +77,14 @@
     pass: () => {
       const next = (ranks[0]?.step ?? 0) + 1;
       if (ranks.some(({ held }) => held === next)) return;
-      ranks.forEach((rank) => begin(rank, next));
+      ranks.forEach((rank) => beginPass(rank, next));
       if (new Set(ranks.map(({ map }) => map)).size > 1) mixed += 1;
     },
     formAnew: (restarted) => {
       ranks.forEach((rank, at) => {
         const epoch = rank.epoch + 1;
         const counts = at === restarted ? rank.counts.map(() => 0) : rank.counts;
-        Object.assign(rank, fresh(at), { epoch, step: rank.step, counts });
+        Object.assign(rank, createRankState(at), { epoch, step: rank.step, counts });
       });
     },
     mixed: () => mixed,
@@ -97,7 +101,7 @@
 
 const STATUS = { begun: 202, done: 200, refused: 409, unknown: 400 } as const;
 
-const carryOut = (state: RankState, rank: number, order: Order): number => {
+const executeOrder = (state: RankState, rank: number, order: Order): number => {
   const { outcome, change } = judgeRankOrder(
     {
       ...state,
@@ -124,26 +128,30 @@
   return Buffer.concat(chunks).toString();
 };
 
-/** Unix time of a server's first start, and how much later it starts again, in ms. */
-const FIRST_BORN_MS = 1_796_000_000_000;
-const RESTART_MS = 1_500;
+/**
+ * Unix time of a server's first start, and the time from each start to the next, in milliseconds.
+ */
+const FIRST_START_MS = 1_796_000_000_000;
+const RESTART_DELAY_MS = 1_500;
 
 /** A running server. */
 export interface ServerStandIn {
-  /** Ids of the requests that ran. */
+  /** Ids of the requests that were executed. */
   ran: string[];
-  /** Requests that reached the server, also those that did not run, and when (monotonic, ms). */
+  /** All requests received, executed or not, with their times (monotonic, in milliseconds). */
   arrivals: { id: string; at: number }[];
-  /** Advertises this many requests a second in its answers from now on; undefined: none. */
+  /** Sets the rate limit (requests per second) advertised in responses; undefined for none. */
   advertiseLimit(perSecond: number | undefined): void;
-  /** The server crashes and starts again under its id: it holds and has counted nothing. */
+  /**
+   * Simulates a crash and restart under the same instance id: holds and selection counts are lost.
+   */
   startAgain(): void;
-  /** Headers of the last request. */
+  /** Returns the headers of the last request. */
   lastHeaders(): IncomingMessage['headers'];
   close(): Promise<void>;
 }
 
-/** Starts a server; with a group it is that rank, without one it is a plain service. */
+/** Starts a server: one rank of `group` if given, else a plain service. */
 export const startServerStandIn = async (
   listen: { host: string; port: number },
   instance: string,
@@ -152,7 +160,7 @@
   const ran: string[] = [];
   const arrivals: { id: string; at: number }[] = [];
   let limit: Record<string, string> = {};
-  let born = FIRST_BORN_MS;
+  let startedAt = FIRST_START_MS;
   let lastHeaders: IncomingMessage['headers'] = {};
   const state = group?.group.ranks[group.rank];
 
@@ -161,19 +169,23 @@
     res.end(value === undefined ? '' : JSON.stringify(value));
   };
 
-  const report = (): unknown => {
+  const stateReport = (): unknown => {
     const { epoch, step, map, prepared, armed, held } = state ?? {};
-    const place = { name: 'g', epoch, rank: group?.rank, state: 'open' };
+    const groupInfo = { name: 'g', epoch, rank: group?.rank, state: 'open' };
     const size = group?.group.size;
-    return { born, group: place, size, step, map, prepared, armed, held };
+    return { born: startedAt, group: groupInfo, size, step, map, prepared, armed, held };
   };
 
-  const picked = (isLists: boolean): unknown =>
-    isLists
-      ? { born, epoch: state?.epoch, map: { version: state?.map, experts: state?.experts } }
-      : { born, step: state?.step, epoch: state?.epoch, counts: state?.counts };
+  const selectionReport = (withExpertLists: boolean): unknown =>
+    withExpertLists
+      ? {
+          born: startedAt,
+          epoch: state?.epoch,
+          map: { version: state?.map, experts: state?.experts },
+        }
+      : { born: startedAt, step: state?.step, epoch: state?.epoch, counts: state?.counts };
 
-  const run = (req: IncomingMessage, res: ServerResponse): void => {
+  const handleRequest = (req: IncomingMessage, res: ServerResponse): void => {
     const id = String(req.headers['x-request-id']);
     arrivals.push({ id, at: performance.now() });
     lastHeaders = req.headers;
@@ -182,12 +194,12 @@
       return;
     }
     ran.push(id);
-    const sound = { 'X-Request-Id': id, 'X-Server-Stamp': `stamp-${instance}`, ...limit };
+    const successHeaders = { 'X-Request-Id': id, 'X-Server-Stamp': `stamp-${instance}`, ...limit };
     if (!group) {
-      res.writeHead(200, { ...sound, 'X-Server-Load': '1,0,6' }).end('done');
+      res.writeHead(200, { ...successHeaders, 'X-Server-Load': '1,0,6' }).end('done');
       return;
     }
-    res.writeHead(200, { ...sound, 'Content-Type': 'text/event-stream' });
+    res.writeHead(200, { ...successHeaders, 'Content-Type': 'text/event-stream' });
     [1, 2, 3].forEach((event) => res.write(`id: ${event}\ndata: t\n\n`));
     res.end();
   };
@@ -195,12 +207,12 @@
   const serve = async (req: IncomingMessage, res: ServerResponse): Promise<void> => {
     const body = await readBody(req);
     const url = new URL(req.url ?? '/', 'http://server');
-    if (!url.pathname.startsWith('/plantaindrum/')) run(req, res);
+    if (!url.pathname.startsWith('/plantaindrum/')) handleRequest(req, res);
     else if (!state || !group) reply(res, 404);
-    else if (url.pathname === '/plantaindrum/report') reply(res, 200, report());
+    else if (url.pathname === '/plantaindrum/report') reply(res, 200, stateReport());
     else if (url.pathname === '/plantaindrum/picked') {
-      reply(res, 200, picked(url.searchParams.has('lists')));
-    } else reply(res, carryOut(state, group.rank, JSON.parse(body) as Order));
+      reply(res, 200, selectionReport(url.searchParams.has('lists')));
+    } else reply(res, executeOrder(state, group.rank, JSON.parse(body) as Order));
   };
 
   const server: Server = createServer((req, res) => {
@@ -216,7 +228,7 @@
       limit = perSecond === undefined ? {} : { 'Server-Limit': String(perSecond) };
     },
     startAgain: () => {
-      born += RESTART_MS;
+      startedAt += RESTART_DELAY_MS;
       group?.group.formAnew(group.rank);
     },
     lastHeaders: () => lastHeaders,
--- a/packages/stand-ins/src/users-platform/store-stand-in.ts
+++ b/packages/stand-ins/src/users-platform/store-stand-in.ts
@@ -1,17 +1,17 @@
-/** A small stand-in of the users' store: keyed topics of its log, with the outages that tests switch. */
+/** A minimal stand-in for the users' store: the keyed topics of its log, with switchable faults. */
 
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 
-/** How the store treats calls. */
+/** How the store responds to calls. */
 export type StoreMode =
   | 'up'
-  /** Every call gets 503. */
+  /** Every call gets a 503 response. */
   | 'busy'
-  /** Connections are accepted and nothing is answered. */
+  /** Connections are accepted, but no call gets a response. */
   | 'silent'
-  /** Calls are carried out, and their connections are reset instead of an answer. */
+  /** Appends take effect, but their connections are reset before the response. */
   | 'losing-answers';
 
 interface StoredRecord {
@@ -21,34 +21,40 @@
 
 interface Topic {
   records: StoredRecord[];
-  /** Offset of the first record that is kept. */
+  /** Offset of the first retained record. */
   first: number;
-  waiting: Set<() => void>;
+  waitingReaders: Set<() => void>;
 }
 
 /** A running store. */
 export interface StoreStandIn {
   port: number;
-  /** Writes as the operator or a server does; an empty value drops the key. */
+  /** Writes a record as the operator or a server does; an undefined value deletes the key. */
   put(topic: string, key: string, value: unknown): void;
-  /** Keys of a topic that have a value. */
+  /** Returns the keys of a topic that have a value. */
   keys(topic: string): string[];
   setMode(mode: StoreMode): void;
-  /** Deletes all records but the newest of each key. */
+  /**
+   * Makes reads of earlier offsets fail, as compaction does; the latest values remain available.
+   */
   forgetHistory(): void;
-  /** Remembers what is stored now, as a backup does. */
+  /** Saves the current end of each topic as the backup. */
   takeBackup(): void;
-  /** Comes back from the last backup: records since then are gone, and their offsets are given out again. */
+  /**
+   * Restores the last backup: later records are lost, and their offsets are reused in a new
+   * generation.
+   */
   restoreBackup(): void;
+  /** Number of calls received. */
   calls(): number;
   close(): Promise<void>;
 }
 
 const LENGTH_BYTES = 4;
-const GENERATION_FIELD = 'Store-Era';
-const PAGE = 500;
+const GENERATION_HEADER = 'Store-Era';
+const PAGE_SIZE = 500;
 
-const keyedRecord = ({ key, value }: StoredRecord): Buffer => {
+const encodeRecord = ({ key, value }: StoredRecord): Buffer => {
   const name = Buffer.from(key);
   const header = Buffer.alloc(LENGTH_BYTES + 1);
   header.writeUInt32BE(1 + name.length + value.length);
@@ -78,7 +84,7 @@
   return Buffer.concat(chunks);
 };
 
-/** Starts a store on loopback. */
+/** Starts a store on the loopback address. */
 export const startStoreStandIn = async (): Promise<StoreStandIn> => {
   const topics = new Map<string, Topic>();
   let mode: StoreMode = 'up';
@@ -87,7 +93,7 @@
   let backup = new Map<string, number>();
 
   const topicOf = (name: string): Topic => {
-    const topic = topics.get(name) ?? { records: [], first: 0, waiting: new Set() };
+    const topic = topics.get(name) ?? { records: [], first: 0, waitingReaders: new Set() };
     topics.set(name, topic);
     return topic;
   };
@@ -96,25 +102,25 @@
     const topic = topicOf(name);
     const offset = topic.records.length;
     topic.records.push(...records);
-    topic.waiting.forEach((wake) => wake());
+    topic.waitingReaders.forEach((wake) => wake());
     return offset;
   };
 
-  const untilRecord = (topic: Topic, waitMs: number): Promise<void> =>
+  const awaitRecord = (topic: Topic, waitMs: number): Promise<void> =>
     new Promise((resolve) => {
-      const done = (): void => {
-        topic.waiting.delete(done);
+      const finish = (): void => {
+        topic.waitingReaders.delete(finish);
         resolve();
       };
-      topic.waiting.add(done);
-      setTimeout(done, waitMs);
+      topic.waitingReaders.add(finish);
+      setTimeout(finish, waitMs);
     });
 
-  const read = async (query: URLSearchParams, res: ServerResponse): Promise<void> => {
+  const serveRead = async (query: URLSearchParams, res: ServerResponse): Promise<void> => {
     const topic = topicOf(query.get('topic') ?? '');
     const from = Number(query.get('from'));
     const waitMs = Number(query.get('wait_ms') ?? 0);
-    if (from >= topic.records.length && waitMs > 0) await untilRecord(topic, waitMs);
+    if (from >= topic.records.length && waitMs > 0) await awaitRecord(topic, waitMs);
     if (from < topic.first || from > topic.records.length) {
       res.writeHead(410).end(JSON.stringify({ first: topic.first }));
       return;
@@ -122,20 +128,20 @@
     const header = Buffer.alloc(16);
     header.writeBigUInt64BE(BigInt(topic.records.length), 0);
     header.writeBigUInt64BE(BigInt(topic.first), 8);
-    res.writeHead(200).end(Buffer.concat([header, ...topic.records.slice(from).map(keyedRecord)]));
+    res.writeHead(200).end(Buffer.concat([header, ...topic.records.slice(from).map(encodeRecord)]));
   };
 
-  const newest = (query: URLSearchParams, res: ServerResponse): void => {
+  const serveLatest = (query: URLSearchParams, res: ServerResponse): void => {
     const { records } = topicOf(query.get('topic') ?? '');
     const byKey = new Map(records.map(({ key, value }, offset) => [key, { key, value, offset }]));
     const after = query.get('after') ?? '';
-    const live = [...byKey.values()]
+    const current = [...byKey.values()]
       .filter(({ key, value }) => value.length > 0 && key > after)
       .sort((a, b) => (a.key < b.key ? -1 : 1));
-    const items = live
-      .slice(0, PAGE)
+    const items = current
+      .slice(0, PAGE_SIZE)
       .map((item) => ({ ...item, value: item.value.toString('base64') }));
-    const page = { items, has_more: live.length > PAGE, end: records.length };
+    const page = { items, has_more: current.length > PAGE_SIZE, end: records.length };
     res.writeHead(200, { 'Content-Type': 'application/json' }).end(JSON.stringify(page));
   };
 
@@ -143,7 +149,7 @@
     calls += 1;
     const url = new URL(req.url ?? '/', 'http://store');
     const body = await readBody(req);
-    res.setHeader(GENERATION_FIELD, generation);
+    res.setHeader(GENERATION_HEADER, generation);
     if (mode === 'silent') return;
     if (mode === 'busy') {
       res.writeHead(503).end();
@@ -155,8 +161,8 @@
       else res.writeHead(200).end(JSON.stringify({ offset, end: offset + 1 }));
       return;
     }
-    if (url.pathname === '/plantaindrum/log-read') await read(url.searchParams, res);
-    else if (url.pathname === '/plantaindrum/log-newest') newest(url.searchParams, res);
+    if (url.pathname === '/plantaindrum/log-read') await serveRead(url.searchParams, res);
+    else if (url.pathname === '/plantaindrum/log-newest') serveLatest(url.searchParams, res);
     else res.writeHead(404).end();
   };
 
@@ -193,7 +199,7 @@
       topics.forEach((topic, name) => {
         topic.records.splice(backup.get(name) ?? 0);
         Object.assign(topic, { first: Math.min(topic.first, topic.records.length) });
-        topic.waiting.forEach((wake) => wake());
+        topic.waitingReaders.forEach((wake) => wake());
       });
     },
     calls: () => calls,
--- a/packages/stand-ins/src/vm-list-stand-in.ts
+++ b/packages/stand-ins/src/vm-list-stand-in.ts
@@ -46,7 +46,9 @@
   res.writeHead(200, { 'content-type': 'application/json', etag }).end(text);
 };
 
-/** Starts a VM list; `PUT` on its URL replaces the VMs, `POST /lag` `{"lagMs":n}` sets the delay. */
+/**
+ * Starts a VM list; `PUT` on its URL replaces the VMs, `POST /lag` `{"lagMs":n}` sets the delay.
+ */
 export const createVmListStandIn = async (
   options: VmListStandInOptions = {},
 ): Promise<VmListStandIn> => {
--- a/packages/stand-ins/src/weight-store-stand-in.ts
+++ b/packages/stand-ins/src/weight-store-stand-in.ts
@@ -52,7 +52,9 @@
   return first > last ? 'bad' : [first, last];
 };
 
-/** Starts a weight store; besides `/faults` it has `POST /break-off` `{"count":n}` and `GET /stats`. */
+/**
+ * Starts a weight store; besides `/faults` it has `POST /break-off` `{"count":n}` and `GET /stats`.
+ */
 export const createWeightStoreStandIn = async (
   options: WeightStoreStandInOptions = {},
 ): Promise<WeightStoreStandIn> => {
--- a/packages/stand-ins/test/log.test.ts
+++ b/packages/stand-ins/test/log.test.ts
@@ -23,7 +23,7 @@
     };
   };
 
-  it('gives offsets in order and the records back, by the published format', async () => {
+  it('assigns consecutive offsets and returns records in the published format', async () => {
     const { append, read, offsets } = await start();
     await append({ a: 1 });
     const second = await append({ b: 2 });
@@ -36,7 +36,7 @@
     }).toMatchSnapshot();
   });
 
-  it('answers a long poll when a record comes, and empty when its time is over', async () => {
+  it('answers a long poll when a record arrives, and with an empty list after its timeout', async () => {
     const clock = createManualClock();
     const { log: standIn, append, read } = await start({ clock });
     const polled = read('offset=0&timeout=60000');
@@ -49,19 +49,19 @@
     expect((await idle).json).to.deep.equal([]);
   });
 
-  it('refuses appends over the rate with Retry-After, without effect', async () => {
+  it('rejects appends over the rate limit with Retry-After and does not store them', async () => {
     const clock = createManualClock();
     const { append, offsets } = await start({ clock, appendsPerSecond: 2 });
     await append(1);
     await append(2);
-    const over = await append(3);
-    expect([over.status, over.headers['retry-after']]).to.deep.equal([429, '1']);
+    const rejected = await append(3);
+    expect([rejected.status, rejected.headers['retry-after']]).to.deep.equal([429, '1']);
     expect((await offsets()).json.end_offset).to.equal(2);
     await clock.advance(1000);
     expect((await append(3)).status).to.equal(200);
   });
 
-  it('forgets records by count and by age', async () => {
+  it('deletes records by count and by age', async () => {
     const clock = createManualClock();
     const { append, read, offsets } = await start({ clock, retention: { records: 2, ms: 1000 } });
     for (const value of [1, 2, 3]) await append(value);
@@ -71,9 +71,9 @@
     expect((await offsets()).json).to.deep.equal({ beginning_offset: 3, end_offset: 3 });
   });
 
-  // The log is down for longer than its retention: a reader that comes back finds its offset gone,
-  // and must learn so instead of reading on as if nothing had been written.
-  it("has lost a reader's place after an outage longer than its retention", async () => {
+  // The log is down for longer than its retention, so the offset of a reader has expired when it
+  // returns. The reader must get an error instead of an empty result, which would hide lost records.
+  it('reports an expired offset to a reader after an outage longer than the retention', async () => {
     const clock = createManualClock();
     const { log: standIn, append, read, offsets } = await start({ clock, retention: { ms: 1000 } });
     await append(1);
@@ -87,14 +87,14 @@
     expect((await append(3)).json.offsets[0].offset).to.equal(2);
   });
 
-  it('loses the answers of the next appends after their effect', async () => {
+  it('resets the connection of the next appends after they took effect', async () => {
     const { log: standIn, append } = await start();
     standIn.setFaults({ loseAnswers: 1 });
     expect((await append('lost')).status).to.equal(0);
     expect((await append('kept')).json.offsets[0].offset).to.equal(1);
   });
 
-  it('has outages of appends, of reads and of both, that also end long polls', async () => {
+  it('fails appends, reads or both during an outage, which also ends long polls', async () => {
     const { log: standIn, append, read } = await start();
     const polled = read('offset=0&timeout=60000');
     await standIn.waitFor(({ polling }) => polling === 1);
@@ -107,7 +107,7 @@
     expect((await polled).status).to.equal(200);
   });
 
-  it('cuts off or ignores the named clients and nobody else', async () => {
+  it('resets or ignores requests of the listed clients only', async () => {
     const { log: standIn, append, offsets } = await start();
     standIn.setFaults({ cutClients: ['kent-e1'], silentClients: ['kent-e2'] });
     expect((await append(1, { 'x-client': 'kent-e1' })).status).to.equal(0);
@@ -118,7 +118,7 @@
     expect((await offsets()).json.end_offset).to.equal(1);
   });
 
-  it('is slow by its clock', async () => {
+  it('delays responses by the configured time on its clock', async () => {
     const clock = createManualClock();
     const { log: standIn, append } = await start({ clock });
     standIn.setFaults({ delayMs: 500 });
