--- a/packages/stand-ins/src/engine/expert-map.ts
+++ b/packages/stand-ins/src/engine/expert-map.ts
@@ -5,7 +5,7 @@
 }
 
 /** One replica of every expert, dealt out to the ranks in turn. */
-export const dealtMap = (
+export const createRoundRobinMap = (
   version: number,
   layers: number,
   experts: number,
--- a/packages/stand-ins/src/engine/group-stand-in.ts
+++ b/packages/stand-ins/src/engine/group-stand-in.ts
@@ -8,7 +8,7 @@
 import type { Engine, EngineFaults } from './engine.js';
 import { createEngine } from './engine.js';
 import { createEngineHandler } from './engine-server.js';
-import { dealtMap } from './expert-map.js';
+import { createRoundRobinMap } from './expert-map.js';
 import type { EngineGroupStandIn, EngineGroupStandInOptions, EngineView } from './group-types.js';
 import { createOracle } from './oracle.js';
 import { applyOrder } from './orders.js';
@@ -111,7 +111,7 @@
 
   const formAtStart = (): void => {
     const rankCount = cfg.ranksPerEngine * (cfg.lockStep ? cfg.engines : 1);
-    const map = dealtMap(1, cfg.layers, cfg.experts, rankCount);
+    const map = createRoundRobinMap(1, cfg.layers, cfg.experts, rankCount);
     engines.forEach((engine) => {
       const group = cfg.lockStep ? cfg.group : `${cfg.group}-${engine.index}`;
       applyOrder(engine.memory.state, 'form_group', {
--- a/packages/stand-ins/src/index.ts
+++ b/packages/stand-ins/src/index.ts
@@ -11,7 +11,7 @@
 export * from './load/balancer.js';
 export * from './load/executions.js';
 export * from './load/load.js';
-export * from './load/most-in-window.js';
+export * from './load/max-in-window.js';
 export * from './load/open-loop.js';
 export * from './load/plan.js';
 export * from './load/report.js';
--- a/packages/stand-ins/src/load/answer-check.ts
+++ b/packages/stand-ins/src/load/answer-check.ts
@@ -1,19 +1,19 @@
 /**
- * Checks that an answer is whole and the caller's own, against the text that its prompt implies.
+ * Checks that a response is complete and belongs to its request: its text follows from the prompt.
  */
 import { createHash } from 'node:crypto';
 import { answerText, completionId, tokenText } from '../engine/text.js';
 
-/** What a call came to, as its caller can tell. */
+/** Outcome of a call from the caller's point of view. */
 export type CallOutcome = 'answered' | 'not-run' | 'unknown' | 'lost' | 'wrong' | 'error';
 
-/** An outcome and its reason; the reason of an answer is empty. */
+/** An outcome and its reason; the reason is empty for `answered`. */
 export interface Verdict {
   outcome: CallOutcome;
   reason: string;
 }
 
-const WHOLE: Verdict = { outcome: 'answered', reason: '' };
+const ANSWERED: Verdict = { outcome: 'answered', reason: '' };
 const wrong = (reason: string): Verdict => ({ outcome: 'wrong', reason });
 
 const parse = (text: string): unknown => {
@@ -24,7 +24,7 @@
   }
 };
 
-/** The verdict that a refusal's body asks for. */
+/** Derives the verdict from the error body of a refusal. */
 export const refusalVerdict = (text: string, status: number): Verdict => {
   const err = (parse(text) as { error?: { outcome?: string; reason?: string } } | undefined)?.error;
   const outcome = err?.outcome;
@@ -39,34 +39,37 @@
   choices?: { text?: string }[];
 }
 
-/** Checks a stream while it arrives. */
+/** Checks a streamed response incrementally. */
 export interface StreamCheck {
-  /** Takes a piece of the body; the number of tokens that it completed. */
+  /** Processes a chunk of the body; returns the number of tokens that it completed. */
   feed(text: string): number;
-  /** The verdict on a body that ended cleanly (`true`) or was cut (`false`). */
+  /**
+   * Returns the verdict; `clean` is false if the connection was lost before the end of the body.
+   */
   end(clean: boolean): Verdict;
 }
 
-/** Creates a check of the streamed answer to `prompt`. */
+/** Creates a check for the streamed response to `prompt`. */
 export const createStreamCheck = (prompt: string, maxTokens: number): StreamCheck => {
   const id = completionId(prompt);
-  let rest = '';
-  let next = 0;
+  let buffered = '';
+  let nextToken = 0;
   let done = false;
   let verdict: Verdict | undefined;
 
-  const takeToken = (data: string): boolean => {
+  const checkToken = (data: string): boolean => {
     const value = parse(data) as CompletionData | undefined;
-    const own = value?.id === id && value.choices?.[0]?.text === tokenText(prompt, next);
-    if (!own || done || next >= maxTokens) {
-      verdict ??= wrong(`token-${next}`);
+    const isExpected =
+      value?.id === id && value.choices?.[0]?.text === tokenText(prompt, nextToken);
+    if (!isExpected || done || nextToken >= maxTokens) {
+      verdict ??= wrong(`token-${nextToken}`);
       return false;
     }
-    next += 1;
+    nextToken += 1;
     return true;
   };
 
-  const takeEvent = (event: string): boolean => {
+  const checkEvent = (event: string): boolean => {
     const fields = new Map(
       event.split('\n').map((line) => {
         const colon = line.indexOf(':');
@@ -83,33 +86,33 @@
       done = true;
       return false;
     }
-    return takeToken(data);
+    return checkToken(data);
   };
 
   return {
     feed: (text) => {
-      const events = (rest + text).split('\n\n');
-      rest = events.pop() ?? '';
-      return events.filter(takeEvent).length;
+      const events = (buffered + text).split('\n\n');
+      buffered = events.pop() ?? '';
+      return events.filter(checkEvent).length;
     },
     end: (clean) => {
       if (verdict) return verdict;
       if (!clean) return { outcome: 'lost', reason: 'cut' };
-      const whole = done && next === maxTokens && rest === '';
-      return whole ? WHOLE : wrong('short');
+      const isComplete = done && nextToken === maxTokens && buffered === '';
+      return isComplete ? ANSWERED : wrong('short');
     },
   };
 };
 
-/** Checks an answer that is not streamed. */
+/** Checks a response that is not streamed. */
 export const checkCompletion = (text: string, prompt: string, maxTokens: number): Verdict => {
   const value = parse(text) as CompletionData | undefined;
-  const own = value?.id === completionId(prompt);
-  const whole = value?.choices?.[0]?.text === answerText(prompt, maxTokens);
-  return own && whole ? WHOLE : wrong('text');
+  const hasExpectedId = value?.id === completionId(prompt);
+  const hasExpectedText = value?.choices?.[0]?.text === answerText(prompt, maxTokens);
+  return hasExpectedId && hasExpectedText ? ANSWERED : wrong('text');
 };
 
-/** Checks the answer of a service stand-in to the call with this path, key and body. */
+/** Checks a service stand-in's response to the call with this path, key and body. */
 export const checkService = (
   text: string,
   path: string,
@@ -118,6 +121,6 @@
 ): Verdict => {
   const value = parse(text) as { path?: string; key?: string; bodyHash?: string } | undefined;
   const hash = createHash('sha256').update(body).digest('hex');
-  const own = value?.path === path && value.bodyHash === hash;
-  return own && (value.key ?? undefined) === key ? WHOLE : wrong('answer');
+  const isExpected = value?.path === path && value.bodyHash === hash;
+  return isExpected && (value.key ?? undefined) === key ? ANSWERED : wrong('answer');
 };
--- a/packages/stand-ins/src/load/balancer.ts
+++ b/packages/stand-ins/src/load/balancer.ts
@@ -1,40 +1,40 @@
-/** Stands for the platform's balancer before the entries: it sends to those that are ready. */
+/** Simulates the platform's load balancer in front of the entries: it selects only ready ones. */
 import type { Clock } from '@plantaindrum/common';
 import { sleep, systemClock } from '@plantaindrum/common';
 import { request } from 'undici';
 
-/** One entry as the balancer knows it. */
+/** Addresses of one entry. */
 export interface BalancedEntry {
-  /** Base address of the callers' door. */
+  /** Base URL of the caller server. */
   callers: string;
-  /** Full address of the readiness probe. */
+  /** URL of the readiness probe. */
   ready: string;
 }
 
-/** Options of a balancer. */
+/** Options of `createBalancer`. */
 export interface BalancerOptions {
   entries: BalancedEntry[];
-  /** Time between two probes of an entry, and the longest that one may take. */
+  /** Interval between probes of an entry, and timeout of a probe. */
   intervalMs?: number;
   clock?: Clock;
 }
 
 /** A running balancer. */
 export interface Balancer {
-  /** The next ready entry in turn; any entry when none is ready. */
+  /** Returns the next ready entry, round-robin; falls back to all entries when none is ready. */
   pick(): string;
-  /** Callers' doors of the entries that passed their last probe. */
+  /** Returns the caller server URLs of the entries whose last probe succeeded. */
   ready(): string[];
   close(): void;
 }
 
 const DEFAULT_INTERVAL_MS = 500;
 
-/** Starts a balancer; it resolves after the first probes. */
+/** Starts a balancer; resolves after each entry has been probed once. */
 export const createBalancer = async (options: BalancerOptions): Promise<Balancer> => {
   const { entries, clock = systemClock, intervalMs = DEFAULT_INTERVAL_MS } = options;
-  const passed = new Set<BalancedEntry>();
-  let turn = 0;
+  const readyEntries = new Set<BalancedEntry>();
+  let position = 0;
   let closed = false;
 
   const probe = async (entry: BalancedEntry): Promise<void> => {
@@ -44,14 +44,14 @@
         bodyTimeout: intervalMs,
       });
       await res.body.dump();
-      if (res.statusCode === 200) passed.add(entry);
-      else passed.delete(entry);
+      if (res.statusCode === 200) readyEntries.add(entry);
+      else readyEntries.delete(entry);
     } catch {
-      passed.delete(entry);
+      readyEntries.delete(entry);
     }
   };
 
-  const watch = async (entry: BalancedEntry): Promise<void> => {
+  const probePeriodically = async (entry: BalancedEntry): Promise<void> => {
     while (!closed) {
       await sleep(clock, intervalMs);
       if (!closed) await probe(entry);
@@ -59,18 +59,18 @@
   };
 
   const ready = (): string[] =>
-    entries.filter((entry) => passed.has(entry)).map((entry) => entry.callers);
+    entries.filter((entry) => readyEntries.has(entry)).map((entry) => entry.callers);
 
   await Promise.all(entries.map(probe));
   entries.forEach((entry) => {
-    void watch(entry);
+    void probePeriodically(entry);
   });
   return {
     pick: () => {
-      const open = ready();
-      const choice = open.length > 0 ? open : entries.map((entry) => entry.callers);
-      turn += 1;
-      return choice[turn % choice.length] ?? '';
+      const readyUrls = ready();
+      const candidates = readyUrls.length > 0 ? readyUrls : entries.map((entry) => entry.callers);
+      position += 1;
+      return candidates[position % candidates.length] ?? '';
     },
     ready,
     close: () => {
--- a/packages/stand-ins/src/load/executions.ts
+++ b/packages/stand-ins/src/load/executions.ts
@@ -1,24 +1,24 @@
-/** Holds what callers were told against what the stand-ins saw. */
+/** Compares the outcomes that callers received with the executions that the stand-ins counted. */
 import { completionId } from '../engine/text.js';
 import type { Arrival } from './plan.js';
 import type { CallResult } from './send.js';
 import { servicePath } from './send.js';
 
-/** How often each call ran: services by path, engines by completion id. */
+/** Number of executions of each call: services by path, engines by completion id. */
 export interface Executions {
   byPath: Record<string, number>;
   byCompletion: Record<string, number>;
 }
 
-/** Calls whose answers don't agree with what happened; all lists must be empty. */
+/** Keys of calls whose outcome contradicts the executions; all lists must be empty. */
 export interface Violations {
-  /** Told "not run" each time it was sent, and ran. */
+  /** Executed although the outcome of every attempt was `not-run`. */
   ranThoughNotRun: string[];
-  /** Service calls of a stream that may not repeat, and ran more than once. */
+  /** Calls of a class that must not be repeated, executed more than once. */
   ranTwice: string[];
-  /** Answered, and no upstream ran it. */
+  /** Answered although no upstream executed the call. */
   answeredWithoutRun: string[];
-  /** A clean answer that is not the caller's own or not whole. */
+  /** Received a response that ended cleanly but is incomplete or belongs to another call. */
   wrongAnswers: string[];
 }
 
@@ -27,10 +27,10 @@
     ? (executions.byPath[servicePath(arrival)] ?? 0)
     : (executions.byCompletion[completionId(arrival.prompt)] ?? 0);
 
-const keysOf = (calls: CallResult[][], holds: (call: CallResult[]) => boolean): string[] =>
-  calls.filter(holds).map((call) => call[0]?.arrival.key ?? '');
+const keysWhere = (calls: CallResult[][], predicate: (call: CallResult[]) => boolean): string[] =>
+  calls.filter(predicate).map((call) => call[0]?.arrival.key ?? '');
 
-/** Finds every violation; `mayNotRepeat` tells the classes whose calls run at most once. */
+/** Finds all violations; `mayNotRepeat` returns true for classes whose calls run at most once. */
 export const findViolations = (
   results: CallResult[],
   executions: Executions,
@@ -43,15 +43,19 @@
   });
   const calls = [...byKey.values()];
   const runs = (call: CallResult[]): number => (call[0] ? runsOf(call[0].arrival, executions) : 0);
-  const all = (call: CallResult[], outcome: string): boolean =>
+  const everyOutcomeIs = (call: CallResult[], outcome: string): boolean =>
     call.every((result) => result.outcome === outcome);
-  const some = (call: CallResult[], outcome: string): boolean =>
+  const someOutcomeIs = (call: CallResult[], outcome: string): boolean =>
     call.some((result) => result.outcome === outcome);
-  const once = (call: CallResult[]): boolean => mayNotRepeat(call[0]?.arrival.stream.class ?? '');
+  const runsAtMostOnce = (call: CallResult[]): boolean =>
+    mayNotRepeat(call[0]?.arrival.stream.class ?? '');
   return {
-    ranThoughNotRun: keysOf(calls, (call) => all(call, 'not-run') && runs(call) > 0),
-    ranTwice: keysOf(calls, (call) => once(call) && runs(call) > 1),
-    answeredWithoutRun: keysOf(calls, (call) => some(call, 'answered') && runs(call) === 0),
-    wrongAnswers: keysOf(calls, (call) => some(call, 'wrong')),
+    ranThoughNotRun: keysWhere(calls, (call) => everyOutcomeIs(call, 'not-run') && runs(call) > 0),
+    ranTwice: keysWhere(calls, (call) => runsAtMostOnce(call) && runs(call) > 1),
+    answeredWithoutRun: keysWhere(
+      calls,
+      (call) => someOutcomeIs(call, 'answered') && runs(call) === 0,
+    ),
+    wrongAnswers: keysWhere(calls, (call) => someOutcomeIs(call, 'wrong')),
   };
 };
--- a/packages/stand-ins/src/load/load.ts
+++ b/packages/stand-ins/src/load/load.ts
@@ -1,4 +1,4 @@
-/** A planned load: sends its calls, checks the answers and counts what came of them. */
+/** Runs a planned load: sends its calls, checks the responses and counts the outcomes. */
 import type { Clock } from '@plantaindrum/common';
 import { systemClock } from '@plantaindrum/common';
 import { createSignal } from '../signal.js';
@@ -11,20 +11,20 @@
 import type { CallResult } from './send.js';
 import { createSender } from './send.js';
 
-/** Options of a load. */
+/** Options of `startLoad`. */
 export interface LoadOptions {
   streams: LoadStream[];
   seed: number;
   durationMs: number;
-  /** The entry that a call goes to; stands for the platform's balancer. */
+  /** Selects the entry that a call is sent to, as the platform's load balancer does. */
   pickTarget: (arrival: Arrival) => string;
-  /** A call without an answer for so long counts as lost. */
+  /** Timeout for response headers and between chunks of a body; the call then counts as lost. */
   timeoutMs?: number;
   clock?: Clock;
   onResult?: (result: CallResult) => void;
 }
 
-/** How far a load has come. */
+/** Progress of a load. */
 export interface LoadProgress {
   sent: number;
   inFlight: number;
@@ -37,21 +37,21 @@
   readonly finished: Promise<CallResult[]>;
   progress(): LoadProgress;
   report(): LoadReport;
-  /** Resolves when `holds` is true; checked as calls are sent and as they end. */
-  waitFor(holds: (progress: LoadProgress) => boolean): Promise<void>;
-  /** Sends nothing more; calls in flight go on. */
+  /** Resolves when `predicate` returns true; checked whenever a call is sent or ends. */
+  waitFor(predicate: (progress: LoadProgress) => boolean): Promise<void>;
+  /** Sends no further calls; calls in flight continue. */
   stop(): void;
 }
 
 const DEFAULT_TIMEOUT_MS = 60_000;
 
-/** Sends to the targets in turn; repeats of a call go to the next one. */
-export const inTurn =
+/** Selects the targets round-robin, so that a repeat of a call goes to the next target. */
+export const roundRobin =
   (targets: string[]): LoadOptions['pickTarget'] =>
   (arrival) =>
     targets[arrival.index % targets.length] ?? '';
 
-/** Starts a load. */
+/** Plans a load and starts to send it. */
 export const startLoad = (options: LoadOptions): Load => {
   const { clock = systemClock, timeoutMs = DEFAULT_TIMEOUT_MS } = options;
   const arrivals = planArrivals(options.streams, options.seed, options.durationMs);
@@ -79,18 +79,18 @@
   };
 
   const loop = startOpenLoop(arrivals, send, clock);
-  const finish = async (): Promise<CallResult[]> => {
+  const finishLoad = async (): Promise<CallResult[]> => {
     const results = await loop.finished;
     await sender.close();
     return results;
   };
 
   return {
-    finished: finish(),
+    finished: finishLoad(),
     progress,
     report: () => builder.report(sent - ended),
-    waitFor: async (holds) => {
-      while (!holds(progress())) await progressed.wait();
+    waitFor: async (predicate) => {
+      while (!predicate(progress())) await progressed.wait();
     },
     stop: loop.stop,
   };
--- a/packages/stand-ins/src/load/most-in-window.ts
+++ b/packages/stand-ins/src/load/max-in-window.ts
@@ -1,4 +1,4 @@
-/** Most of the times that lie in one window of this length, wherever it begins. */
+/** Returns the maximum number of `times` within any window of `windowMs` milliseconds. */
 export const mostInWindow = (times: readonly number[], windowMs: number): number =>
   Math.max(
     0,
--- a/packages/stand-ins/src/load/open-loop.ts
+++ b/packages/stand-ins/src/load/open-loop.ts
@@ -1,20 +1,26 @@
-/** Begins calls at their times, whether or not earlier ones have ended. */
+/**
+ * Open-loop load generator: starts calls at their planned times, whether or not earlier ones ended.
+ */
 
 import type { Clock } from '@plantaindrum/common';
 import { systemClock } from '@plantaindrum/common';
 import { createSignal } from '../signal.js';
 
-/** A load under way. */
+/** A running open-loop load. */
 export interface OpenLoop<R> {
-  /** Calls begun and not yet ended. */
+  /** Number of calls started and not yet ended. */
   inFlight(): number;
-  /** Resolves with every call's result, in the order of their ends, once the last has ended. */
+  /**
+   * Resolves with the results of all calls, in order of completion, once the last one has ended.
+   */
   readonly finished: Promise<R[]>;
-  /** Begins no more calls; those in flight go on. */
+  /** Starts no further calls; those in flight continue. */
   stop(): void;
 }
 
-/** Starts a load of calls that are due `atMs` milliseconds after its start, in this order. */
+/**
+ * Starts a load; each call is due `atMs` milliseconds after the start, sorted in ascending order.
+ */
 export const startOpenLoop = <A extends { atMs: number }, R>(
   arrivals: readonly A[],
   send: (arrival: A) => Promise<R>,
@@ -23,31 +29,31 @@
   const stopped = createSignal();
   const results: R[] = [];
   let inFlight = 0;
-  let stopping = false;
+  let isStopped = false;
 
-  const begin = async (arrival: A): Promise<void> => {
+  const startCall = async (arrival: A): Promise<void> => {
     inFlight += 1;
     const result = await send(arrival);
     inFlight -= 1;
     results.push(result);
   };
 
-  const untilDueOrStopped = async (waitMs: number): Promise<void> => {
-    let stops: (() => void)[] = [];
+  const waitUntilDueOrStopped = async (waitMs: number): Promise<void> => {
+    let cancels: (() => void)[] = [];
     await new Promise<void>((resolve) => {
-      stops = [clock.after(waitMs, resolve), stopped.listen(resolve)];
+      cancels = [clock.after(waitMs, resolve), stopped.listen(resolve)];
     });
-    stops.forEach((stop) => stop());
+    cancels.forEach((stop) => stop());
   };
 
   const run = async (): Promise<R[]> => {
-    const begun = clock.monotonic();
+    const startedAt = clock.monotonic();
     const calls: Promise<void>[] = [];
     for (const arrival of arrivals) {
-      const waitMs = begun + arrival.atMs - clock.monotonic();
-      if (waitMs > 0) await untilDueOrStopped(waitMs);
-      if (stopping) break;
-      calls.push(begin(arrival));
+      const waitMs = startedAt + arrival.atMs - clock.monotonic();
+      if (waitMs > 0) await waitUntilDueOrStopped(waitMs);
+      if (isStopped) break;
+      calls.push(startCall(arrival));
     }
     await Promise.all(calls);
     return results;
@@ -57,7 +63,7 @@
     inFlight: () => inFlight,
     finished: run(),
     stop: () => {
-      stopping = true;
+      isStopped = true;
       stopped.notify();
     },
   };
--- a/packages/stand-ins/src/load/report.ts
+++ b/packages/stand-ins/src/load/report.ts
@@ -3,29 +3,30 @@
 import type { CallOutcome } from './answer-check.js';
 import type { CallResult } from './send.js';
 
-/** Counts and times of some of a load's calls; times in microseconds. */
-export interface LoadFigures {
+/** Counts and latencies (in microseconds) of a subset of a load's calls. */
+export interface LoadStats {
   sent: number;
   outcomes: Record<CallOutcome, number>;
-  /** Outcomes other than answers, as `outcome:reason`. */
+  /** Counts of outcomes other than `answered`, by `outcome:reason`. */
   reasons: Record<string, number>;
-  /** Answered within the stream's target. */
+  /** Calls answered within the target of their stream. */
   inTime: number;
-  /** To the first token of a stream, or the whole of another answer. */
+  /** Time to the first token of a stream, or to the full response of another call. */
   firstUs: HistogramStats;
-  /** Between two tokens of a stream. */
+  /** Time between two tokens of a stream. */
   betweenUs: HistogramStats;
+  /** Time to the end of the response. */
   wholeUs: HistogramStats;
-  /** Until a refusal was there. */
+  /** Time to the end of a refusal whose outcome is `not-run`. */
   refusalUs: HistogramStats;
 }
 
-/** What a load has seen so far. */
+/** Results of a load so far. */
 export interface LoadReport {
-  total: LoadFigures;
-  byClass: Record<string, LoadFigures>;
-  byOrganisation: Record<string, LoadFigures>;
-  /** Refusals without a usable Retry-After; must be 0. */
+  total: LoadStats;
+  byClass: Record<string, LoadStats>;
+  byOrganisation: Record<string, LoadStats>;
+  /** Number of refusals without a valid Retry-After; must be 0. */
   lackingRetryAfter: number;
   inFlight: number;
 }
@@ -33,7 +34,7 @@
 interface Tally {
   outcomes(): Record<CallOutcome, number>;
   add(result: CallResult): void;
-  figures(): LoadFigures;
+  stats(): LoadStats;
 }
 
 const createTally = (): Tally => {
@@ -73,7 +74,7 @@
       if (result.outcome === 'not-run') refusal.record(result.wholeUs);
     },
     outcomes: () => ({ ...outcomes }),
-    figures: () => ({
+    stats: () => ({
       sent,
       outcomes: { ...outcomes },
       reasons: { ...reasons },
@@ -86,14 +87,14 @@
   };
 };
 
-/** Gathers results. */
+/** Aggregates the results of calls. */
 export interface ReportBuilder {
   add(result: CallResult): void;
   outcomes(): Record<CallOutcome, number>;
   report(inFlight: number): LoadReport;
 }
 
-/** Creates an empty report. */
+/** Creates a builder without results. */
 export const createReportBuilder = (): ReportBuilder => {
   const total = createTally();
   const byClass = new Map<string, Tally>();
@@ -105,8 +106,8 @@
     map.set(name, tally);
     return tally;
   };
-  const figuresOf = (map: Map<string, Tally>): Record<string, LoadFigures> =>
-    Object.fromEntries([...map].map(([name, tally]) => [name, tally.figures()]));
+  const statsOf = (map: Map<string, Tally>): Record<string, LoadStats> =>
+    Object.fromEntries([...map].map(([name, tally]) => [name, tally.stats()]));
 
   return {
     add: (result) => {
@@ -118,9 +119,9 @@
     },
     outcomes: total.outcomes,
     report: (inFlight) => ({
-      total: total.figures(),
-      byClass: figuresOf(byClass),
-      byOrganisation: figuresOf(byOrganisation),
+      total: total.stats(),
+      byClass: statsOf(byClass),
+      byOrganisation: statsOf(byOrganisation),
       lackingRetryAfter,
       inFlight,
     }),
--- a/packages/stand-ins/src/load/send.ts
+++ b/packages/stand-ins/src/load/send.ts
@@ -1,4 +1,4 @@
-/** Sends one call of a plan and reads its answer to the end. */
+/** Sends one call of a plan and reads its response to the end. */
 import type { Clock } from '@plantaindrum/common';
 import { Agent, request } from 'undici';
 import type { Dispatcher } from 'undici';
@@ -11,22 +11,23 @@
 } from './answer-check.js';
 import type { Arrival } from './plan.js';
 
-/** What came of one call. */
+/** Result of one call. */
 export interface CallResult extends Verdict {
   arrival: Arrival;
-  /** To the first token of a stream or the whole of another answer; for refusals to their end. */
+  /** Time to the first token of a stream, or to the end of any other response. */
   firstUs: number;
+  /** Time to the end of the response. */
   wholeUs: number;
-  /** Gaps between the tokens of a stream. */
+  /** Times between the tokens of a stream. */
   gapsUs: number[];
-  /** A refusal carried no usable Retry-After. */
+  /** Whether this is a refusal without a valid Retry-After. */
   lacksRetryAfter: boolean;
 }
 
 /** Sends a call to the entry at `target`. */
 export type Sender = (target: string, arrival: Arrival) => Promise<CallResult>;
 
-/** Path that a service call goes to: its own for each key, so that executions can be counted. */
+/** Path of a service call; unique for each key, so that executions can be counted. */
 export const servicePath = (arrival: Arrival): string =>
   arrival.stream.work.kind === 'service' ? `${arrival.stream.work.path}/${arrival.key}` : '';
 
@@ -61,7 +62,7 @@
 
 const isRefusal = ({ outcome }: Verdict): boolean => outcome === 'not-run' || outcome === 'unknown';
 
-/** Creates a sender; a call without an answer for `timeoutMs` counts as lost. */
+/** Creates a sender; `timeoutMs` limits the time to the headers and between chunks of a body. */
 export const createSender = (
   clock: Clock,
   timeoutMs: number,
@@ -72,30 +73,30 @@
     headersTimeout: timeoutMs,
     bodyTimeout: timeoutMs,
   });
-  const us = (since: number): number => (clock.monotonic() - since) * 1000;
+  const elapsedUs = (since: number): number => (clock.monotonic() - since) * 1000;
 
   const readStream = async (
     res: Dispatcher.ResponseData,
     arrival: Arrival,
-    begun: number,
+    startedAt: number,
   ): Promise<Verdict & { firstUs: number; gapsUs: number[] }> => {
     const check = createStreamCheck(arrival.prompt, arrival.maxTokens);
     const decoder = new TextDecoder();
-    const times: number[] = [];
+    const tokenTimesUs: number[] = [];
     let clean = true;
     try {
       for await (const chunk of res.body) {
         const tokens = check.feed(decoder.decode(chunk as Buffer, { stream: true }));
-        for (let n = 0; n < tokens; n += 1) times.push(us(begun));
+        for (let n = 0; n < tokens; n += 1) tokenTimesUs.push(elapsedUs(startedAt));
       }
     } catch {
       clean = false;
     }
-    const gapsUs = times.slice(1).map((time, at) => time - (times[at] ?? 0));
-    return { ...check.end(clean), firstUs: times[0] ?? us(begun), gapsUs };
+    const gapsUs = tokenTimesUs.slice(1).map((time, at) => time - (tokenTimesUs[at] ?? 0));
+    return { ...check.end(clean), firstUs: tokenTimesUs[0] ?? elapsedUs(startedAt), gapsUs };
   };
 
-  const checkWhole = (text: string, arrival: Arrival): Verdict =>
+  const checkFullResponse = (text: string, arrival: Arrival): Verdict =>
     arrival.stream.work.kind === 'service'
       ? checkService(text, servicePath(arrival), idempotencyKey(arrival), bodyOf(arrival))
       : checkCompletion(text, arrival.prompt, arrival.maxTokens);
@@ -103,22 +104,24 @@
   const read = async (
     res: Dispatcher.ResponseData,
     arrival: Arrival,
-    begun: number,
+    startedAt: number,
   ): Promise<Omit<CallResult, 'arrival' | 'wholeUs'>> => {
     const { work } = arrival.stream;
     if (res.statusCode === 200 && work.kind === 'completion' && work.stream) {
-      return { ...(await readStream(res, arrival, begun)), lacksRetryAfter: false };
+      return { ...(await readStream(res, arrival, startedAt)), lacksRetryAfter: false };
     }
     const text = await res.body.text();
     const verdict =
-      res.statusCode === 200 ? checkWhole(text, arrival) : refusalVerdict(text, res.statusCode);
+      res.statusCode === 200
+        ? checkFullResponse(text, arrival)
+        : refusalVerdict(text, res.statusCode);
     const retryAfter = Number(res.headers['retry-after'] ?? 0);
     const lacksRetryAfter = isRefusal(verdict) && !(retryAfter >= 1);
-    return { ...verdict, firstUs: us(begun), gapsUs: [], lacksRetryAfter };
+    return { ...verdict, firstUs: elapsedUs(startedAt), gapsUs: [], lacksRetryAfter };
   };
 
   const send: Sender = async (target, arrival) => {
-    const begun = clock.monotonic();
+    const startedAt = clock.monotonic();
     const { work } = arrival.stream;
     const path = work.kind === 'service' ? servicePath(arrival) : '/v1/completions';
     try {
@@ -128,15 +131,15 @@
         body: bodyOf(arrival),
         dispatcher,
       });
-      const result = await read(res, arrival, begun);
-      return { ...result, arrival, wholeUs: us(begun) };
+      const result = await read(res, arrival, startedAt);
+      return { ...result, arrival, wholeUs: elapsedUs(startedAt) };
     } catch (err) {
       return {
         outcome: 'lost',
         reason: codeOf(err),
         arrival,
-        firstUs: us(begun),
-        wholeUs: us(begun),
+        firstUs: elapsedUs(startedAt),
+        wholeUs: elapsedUs(startedAt),
         gapsUs: [],
         lacksRetryAfter: false,
       };
--- a/packages/stand-ins/src/users-platform/server-stand-in.ts
+++ b/packages/stand-ins/src/users-platform/server-stand-in.ts
@@ -26,7 +26,7 @@
    */
   pass(): void;
   /** Simulates the restart of a rank: the group forms in a new epoch with map 0. */
-  formAnew(rank: number): void;
+  reform(rank: number): void;
   /** Number of passes that started with different maps. */
   mixed(): number;
 }
@@ -80,7 +80,7 @@
       ranks.forEach((rank) => beginPass(rank, next));
       if (new Set(ranks.map(({ map }) => map)).size > 1) mixed += 1;
     },
-    formAnew: (restarted) => {
+    reform: (restarted) => {
       ranks.forEach((rank, at) => {
         const epoch = rank.epoch + 1;
         const counts = at === restarted ? rank.counts.map(() => 0) : rank.counts;
@@ -229,7 +229,7 @@
     },
     startAgain: () => {
       startedAt += RESTART_DELAY_MS;
-      group?.group.formAnew(group.rank);
+      group?.group.reform(group.rank);
     },
     lastHeaders: () => lastHeaders,
     close: () =>
--- a/packages/stand-ins/test/load.test.ts
+++ b/packages/stand-ins/test/load.test.ts
@@ -29,7 +29,7 @@
   },
 };
 
-const exportsOfSheets: LoadStream = {
+const exportCalls: LoadStream = {
   organisation: 'duna-studio',
   apiKey: 'key-2',
   class: 'export',
@@ -39,19 +39,19 @@
   work: { kind: 'service', path: '/export', keyed: true },
 };
 
-describe('plan of a load', () => {
-  it('is the same for the same seed, at the rate asked for', () => {
-    const plan = planArrivals([summaries, exportsOfSheets], 7, 20_000);
-    expect(planArrivals([summaries, exportsOfSheets], 7, 20_000)).to.deep.equal(plan);
-    const first = plan.filter(({ repeat }) => !repeat);
-    expect(first.length).to.be.within(2700, 3300);
+describe('load plan', () => {
+  it('is deterministic for a seed and has the requested rate', () => {
+    const plan = planArrivals([summaries, exportCalls], 7, 20_000);
+    expect(planArrivals([summaries, exportCalls], 7, 20_000)).to.deep.equal(plan);
+    const originals = plan.filter(({ repeat }) => !repeat);
+    expect(originals.length).to.be.within(2700, 3300);
     expect(
       planArrivals([summaries], 7, 80).map(({ atMs, prompt }) => [atMs, prompt.slice(-12)]),
     ).toMatchSnapshot();
   });
 });
 
-describe('check of a streamed answer', () => {
+describe('stream check', () => {
   const body = streamBody('stand-in', 'lot 7', 3);
   const refusal = JSON.stringify({ error: { outcome: 'unknown', reason: 'upstream-broke-off' } });
   const verdict = (text: string, clean = true) => {
@@ -60,7 +60,7 @@
     return check.end(clean);
   };
 
-  it('tells whole answers from foreign, short, doubled, cut and refused ones', () => {
+  it('distinguishes complete responses from foreign, short, duplicated, cut and refused ones', () => {
     const firstEvent = body.slice(0, body.indexOf('\n\n') + 2);
     expect({
       whole: verdict(body),
@@ -87,7 +87,7 @@
 
   const start = () =>
     startLoad({
-      streams: [summaries, exportsOfSheets],
+      streams: [summaries, exportCalls],
       seed: 7,
       durationMs: 300,
       pickTarget: ({ stream }) =>
@@ -98,7 +98,7 @@
     byCompletion: group.starts(),
   });
 
-  it('verifies every answer and sees what ran twice', async () => {
+  it('verifies every response and detects calls that ran twice', async () => {
     const load = start();
     const results = await load.finished;
     const { total, byOrganisation } = load.report();
@@ -114,7 +114,7 @@
     expect(violations.ranThoughNotRun).to.deep.equal([]);
   });
 
-  it('counts broken streams and lost answers by their reasons', async () => {
+  it('counts broken streams and lost responses by reason', async () => {
     group.setFaults(0, { breakStreams: { count: 2, afterTokens: 1 } });
     service.setFaults({ resetAfter: 1 });
     const load = start();
--- a/packages/stand-ins/test/lock-step.test.ts
+++ b/packages/stand-ins/test/lock-step.test.ts
@@ -1,9 +1,13 @@
 import { expect } from 'chai';
 import type { EngineGroupStandIn, EngineGroupStandInOptions } from '../src/index.js';
-import { createEngineGroupStandIn, createWeightStoreStandIn, dealtMap } from '../src/index.js';
+import {
+  createEngineGroupStandIn,
+  createWeightStoreStandIn,
+  createRoundRobinMap,
+} from '../src/index.js';
 import { call } from './http.js';
 
-const MAP = { ...dealtMap(2, 2, 8, 2), version: 2 };
+const MAP = { ...createRoundRobinMap(2, 2, 8, 2), version: 2 };
 const FAR = 1e9;
 
 describe('lock-step of an engine group', () => {
@@ -111,7 +115,7 @@
     await start();
     await awaitSteps(3);
     await group.kill(1);
-    const map = dealtMap(2, 2, 8, 1);
+    const map = createRoundRobinMap(2, 2, 8, 1);
     await order(0, 'form_group', { group: 'group-1', rank_count: 1, map });
     await awaitSteps(3);
     expect(group.oracle(1).recent[0]?.versions).to.deep.equal([2]);
@@ -127,7 +131,7 @@
     await start();
     await awaitSteps(3);
     group.setFaults(1, { frozen: true });
-    const map = dealtMap(2, 2, 8, 1);
+    const map = createRoundRobinMap(2, 2, 8, 1);
     await order(0, 'form_group', { group: 'group-1', rank_count: 1, map });
     await awaitSteps(3);
     group.setFaults(1, { frozen: false });
@@ -141,7 +145,7 @@
   // fence: both halves can step, which the oracle reports.
   it('counts the steps of a group that was split in two', async () => {
     await start({ checksFence: false });
-    const map = dealtMap(2, 2, 8, 1);
+    const map = createRoundRobinMap(2, 2, 8, 1);
     await order(0, 'form_group', { group: 'group-1', rank_count: 1, map, fence: 6 });
     await order(1, 'form_group', { group: 'group-1', rank_count: 1, map, fence: 5 });
     await group.waitFor(() => group.oracle().splitSteps > 0);
