--- a/packages/stand-ins/src/engine/batch.ts
+++ b/packages/stand-ins/src/engine/batch.ts
@@ -1,16 +1,18 @@
-/** Continuous batching: who waits, who runs, and what one step does for each. */
+/**
+ * Continuous batching: the wait queue, the running generations, and their progress in each step.
+ */
 import type { PrefixCache } from './prefix-cache.js';
 import { BLOCK_CHARACTERS, promptTokens } from './text.js';
 
 const TOKENS_PER_BLOCK = BLOCK_CHARACTERS / 4;
 
-/** One generation, as the engine's HTTP side sees it. */
+/** One generation, as requested by the HTTP handler. */
 export interface Generation {
   prompt: string;
   maxTokens: number;
-  /** Lower goes first, as vLLM has it. */
+  /** Lower values are admitted first, as in vLLM. */
   priority: number;
-  /** The first token to generate. */
+  /** Offset of the first token to generate. */
   from: number;
   /** Called with each token's offset, in order. */
   onToken(offset: number): void;
@@ -20,24 +22,24 @@
 
 interface Running {
   generation: Generation;
-  prefillLeft: number;
-  next: number;
+  remainingPrefillTokens: number;
+  nextToken: number;
 }
 
 /** The batch of one engine. */
 export interface Batch {
   /** Queues a generation; the returned function cancels it. */
   add(generation: Generation): () => void;
-  /** Takes waiting generations in and makes one token for each that is past its prefill. */
+  /** Admits waiting generations and produces one token for each one whose prefill is complete. */
   step(): void;
-  /** Tokens that the next step computes. */
+  /** Returns the number of tokens that the running generations compute in the next step. */
   tokens(): number;
   counts(): { running: number; waiting: number };
-  /** Forgets everything, as a crash does. */
+  /** Drops all generations, as a crash does. */
   clear(): void;
 }
 
-/** Options of a batch. */
+/** Options of `createBatch`. */
 export interface BatchOptions {
   cache: PrefixCache;
   maxRunning: number;
@@ -58,28 +60,28 @@
       if (!generation) return;
       const cached = cache.use(generation.prompt) * TOKENS_PER_BLOCK;
       const prefillLeft = Math.max(0, promptTokens(generation.prompt) - cached);
-      running.push({ generation, prefillLeft, next: generation.from });
+      running.push({ generation, remainingPrefillTokens: prefillLeft, nextToken: generation.from });
     }
   };
 
-  const advance = (entry: Running): boolean => {
+  const advanceGeneration = (entry: Running): boolean => {
     const { generation } = entry;
-    if (entry.prefillLeft > prefillTokensPerStep) {
-      entry.prefillLeft -= prefillTokensPerStep; // eslint-disable-line no-param-reassign
+    if (entry.remainingPrefillTokens > prefillTokensPerStep) {
+      entry.remainingPrefillTokens -= prefillTokensPerStep; // eslint-disable-line no-param-reassign
       return true;
     }
-    entry.prefillLeft = 0; // eslint-disable-line no-param-reassign
-    if (entry.next < generation.maxTokens) generation.onToken(entry.next);
-    entry.next += 1; // eslint-disable-line no-param-reassign
-    if (entry.next < generation.maxTokens) return true;
+    entry.remainingPrefillTokens = 0; // eslint-disable-line no-param-reassign
+    if (entry.nextToken < generation.maxTokens) generation.onToken(entry.nextToken);
+    entry.nextToken += 1; // eslint-disable-line no-param-reassign
+    if (entry.nextToken < generation.maxTokens) return true;
     generation.onEnd();
     return false;
   };
 
   return {
     add: (generation) => {
-      const behind = waiting.findIndex((other) => other.priority > generation.priority);
-      waiting.splice(behind < 0 ? waiting.length : behind, 0, generation);
+      const insertAt = waiting.findIndex((other) => other.priority > generation.priority);
+      waiting.splice(insertAt < 0 ? waiting.length : insertAt, 0, generation);
       onChange();
       return () => {
         waiting = waiting.filter((other) => other !== generation);
@@ -90,14 +92,15 @@
     step: () => {
       if (waiting.length === 0 && running.length === 0) return;
       admit();
-      const taken = running;
-      const going = new Set(taken.filter(advance));
-      running = running.filter((entry) => going.has(entry));
+      const current = running;
+      const unfinished = new Set(current.filter(advanceGeneration));
+      running = running.filter((entry) => unfinished.has(entry));
       onChange();
     },
     tokens: () =>
       running.reduce(
-        (sum, entry) => sum + Math.max(1, Math.min(entry.prefillLeft, prefillTokensPerStep)),
+        (sum, entry) =>
+          sum + Math.max(1, Math.min(entry.remainingPrefillTokens, prefillTokensPerStep)),
         0,
       ),
     counts: () => ({ running: running.length, waiting: waiting.length }),
--- a/packages/stand-ins/src/engine/completions.ts
+++ b/packages/stand-ins/src/engine/completions.ts
@@ -1,4 +1,4 @@
-/** `POST /v1/completions`: queues a generation and writes its tokens as they come. */
+/** `POST /v1/completions`: queues a generation and writes its tokens as they are produced. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { getHeader, readJson, sendJson } from '../http.js';
 import type { Engine } from './engine.js';
@@ -14,52 +14,57 @@
 
 const DEFAULT_MAX_TOKENS = 16;
 
-const countStart = (engine: Engine, prompt: string): void => {
+const recordStart = (engine: Engine, prompt: string): void => {
   const { counts, starts } = engine;
   const id = completionId(prompt);
   counts.started += 1;
   starts.set(id, (starts.get(id) ?? 0) + 1);
 };
 
-const faultOf = (engine: Engine, body: CompletionRequest): [number, string] | undefined => {
+const findRequestError = (
+  engine: Engine,
+  body: CompletionRequest,
+): [number, string] | undefined => {
   const { models, adapters } = engine.memory;
   if (typeof body.prompt !== 'string') return [400, 'prompt must be a string'];
   if ((body.max_tokens ?? 1) < 1) return [400, 'max_tokens must be at least 1'];
-  const known = body.model !== undefined && (models.has(body.model) || adapters.has(body.model));
-  if (!known) return [404, `The model \`${body.model}\` does not exist.`];
+  const isKnown = body.model !== undefined && (models.has(body.model) || adapters.has(body.model));
+  if (!isKnown) return [404, `The model \`${body.model}\` does not exist.`];
   if (engine.faults.refuses) return [503, 'unavailable'];
   return undefined;
 };
 
-/** The reset that a fault asks of this stream, as a number of tokens; Infinity for none. */
-const takeBreak = (engine: Engine): number => {
+/**
+ * Returns after how many tokens a fault resets this stream (Infinity: none); counts the fault down.
+ */
+const consumeStreamBreak = (engine: Engine): number => {
   const { breakStreams } = engine.faults;
   if (breakStreams.count <= 0) return Infinity;
   breakStreams.count -= 1;
   return breakStreams.afterTokens;
 };
 
-/** Serves one completion. */
+/** Handles one completion request. */
 export const serveCompletion = async (
   engine: Engine,
   req: IncomingMessage,
   res: ServerResponse,
 ): Promise<void> => {
   const body = await readJson<CompletionRequest>(req);
-  const fault = faultOf(engine, body);
-  if (fault) {
-    const [status, message] = fault;
+  const requestError = findRequestError(engine, body);
+  if (requestError) {
+    const [status, message] = requestError;
     sendJson(res, status, { error: { message, type: 'invalid_request_error', code: status } });
     return;
   }
   const { model = '', max_tokens: maxTokens = DEFAULT_MAX_TOKENS, stream = false } = body;
   const prompt = body.prompt as string;
   const resumeAfter = getHeader(req, 'last-event-id');
-  const from = stream && resumeAfter !== undefined ? Number(resumeAfter) + 1 : 0;
+  const firstToken = stream && resumeAfter !== undefined ? Number(resumeAfter) + 1 : 0;
   const { counts } = engine;
-  const breakAfter = stream ? takeBreak(engine) : Infinity;
+  const breakAfter = stream ? consumeStreamBreak(engine) : Infinity;
   let written = 0;
-  countStart(engine, prompt);
+  recordStart(engine, prompt);
   if (stream) {
     res.writeHead(200, { 'content-type': 'text/event-stream', 'cache-control': 'no-store' });
     res.flushHeaders();
@@ -68,7 +73,7 @@
     prompt,
     maxTokens,
     priority: body.priority ?? 0,
-    from,
+    from: firstToken,
     onToken: (offset) => {
       counts.tokens += 1;
       if (!stream) return;
--- a/packages/stand-ins/src/engine/control.ts
+++ b/packages/stand-ins/src/engine/control.ts
@@ -1,24 +1,24 @@
-/** The control address of an engine group. */
+/** Control API of an engine group. */
 import { requestUrl, readJson, sendJson } from '../http.js';
 import type { Handler } from '../http.js';
 import type { EngineFaults } from './engine.js';
 import type { EngineGroupStandIn } from './group-types.js';
 import type { PopularityMotion } from './popularity.js';
 
-/** Body of `POST /faults`: the engine, changes of its faults, and at most one action. */
+/** Body of `POST /faults`: the engine, changes to its faults, and at most one action. */
 export interface EngineFaultRequest extends Partial<EngineFaults> {
   engine: number;
   action?: 'kill' | 'restart' | 'release-orders';
 }
 
 /**
- * Creates the handler: `GET /oracle[?recent=n]`, `POST /oracle/reset`, `GET /state`, `GET /starts`,
+ * Creates the request handler: `GET /oracle[?recent=n]`, `POST /oracle/reset`, `GET /state`, `GET /starts`,
  * `POST /faults`, `POST /popularity` `{"motion","seed"?}`.
  */
 export const createControlHandler = (
   group: Omit<EngineGroupStandIn, 'control' | 'close'>,
 ): Handler => {
-  const act = async (body: EngineFaultRequest): Promise<void> => {
+  const applyFaultRequest = async (body: EngineFaultRequest): Promise<void> => {
     const { engine, action, ...faults } = body;
     if (Object.keys(faults).length > 0) group.setFaults(engine, faults);
     if (action === 'kill') await group.kill(engine);
@@ -44,7 +44,7 @@
       sendJson(res, 404, {});
       return;
     }
-    if (pathname === '/faults') await act(await readJson<EngineFaultRequest>(req));
+    if (pathname === '/faults') await applyFaultRequest(await readJson<EngineFaultRequest>(req));
     if (pathname === '/oracle/reset') group.resetOracle();
     if (pathname === '/popularity') {
       const body = await readJson<{ motion: PopularityMotion; seed?: number }>(req);
--- a/packages/stand-ins/src/engine/engine-server.ts
+++ b/packages/stand-ins/src/engine/engine-server.ts
@@ -1,4 +1,4 @@
-/** The doors of one engine: completions, metrics, cache events, health, orders, ranks. */
+/** HTTP API of one engine: completions, metrics, cache events, health, orders and group state. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Signal } from '../signal.js';
 import { requestUrl, readJson, sendJson } from '../http.js';
@@ -6,7 +6,7 @@
 import { serveCompletion } from './completions.js';
 import type { Engine, OrderFault } from './engine.js';
 import type { OrderBody, OrderOutcome } from './orders.js';
-import { applyOrder, checkFence, holdsBefore } from './orders.js';
+import { applyOrder, checkFence, mustWaitBefore } from './orders.js';
 import type { Stepper } from './stepper.js';
 import { promptBlocks } from './text.js';
 
@@ -41,7 +41,7 @@
       armed: armed
         ? { version: armed.version, at_step: armed.atStep, decided: armed.decided }
         : null,
-      holding: holdsBefore(state, state.step + 1),
+      holding: mustWaitBefore(state, state.step + 1),
       step_time_us: Math.round(engine.rankUs[at] ?? 0),
       tokens_by_expert: (engine.tokensByExpert[at] ?? []).map((tokens) =>
         Array.from(tokens, Math.round),
@@ -59,16 +59,16 @@
   res.once('close', unsubscribe);
 };
 
-const takeOrderFault = (engine: Engine, name: string): OrderFault['fault'] | undefined => {
-  const found = engine.faults.orders.find(
+const consumeOrderFault = (engine: Engine, name: string): OrderFault['fault'] | undefined => {
+  const match = engine.faults.orders.find(
     (fault) => fault.count > 0 && (fault.name ?? name) === name,
   );
-  if (!found) return undefined;
-  found.count -= 1;
-  return found.fault;
+  if (!match) return undefined;
+  match.count -= 1;
+  return match.fault;
 };
 
-/** Orders that concern what the engine serves, not its map. */
+/** Applies an order that changes the role, models or adapters; returns false for other orders. */
 const applyServingOrder = (engine: Engine, name: string, body: OrderBody): boolean => {
   const { memory } = engine;
   if (name === 'set_role') memory.role = body.name ?? memory.role;
@@ -78,21 +78,21 @@
   return true;
 };
 
-/** Serves `GET /group`; a stale report stays as the last live one was. */
+/** Creates the handler of `GET /group`; a stale report repeats the last live one. */
 const createGroupReport = (engine: Engine): ((res: ServerResponse) => void) => {
-  let last: unknown;
+  let lastReport: unknown;
   return (res) => {
     const { groupReport } = engine.faults;
     if (groupReport === 'missing') {
       sendJson(res, 503, {});
       return;
     }
-    if (groupReport === 'live' || last === undefined) last = groupView(engine);
-    sendJson(res, 200, last);
+    if (groupReport === 'live' || lastReport === undefined) lastReport = groupView(engine);
+    sendJson(res, 200, lastReport);
   };
 };
 
-/** Creates the handler of one engine's address. */
+/** Creates the request handler of one engine. */
 export const createEngineHandler = (
   engine: Engine,
   stepper: Stepper,
@@ -101,14 +101,14 @@
 ): Handler => {
   const sendGroup = createGroupReport(engine);
 
-  const carryOut = async (name: string, body: OrderBody): Promise<OrderOutcome> => {
+  const executeOrder = async (name: string, body: OrderBody): Promise<OrderOutcome> => {
     const { memory } = engine;
-    const fenced = checkFence(memory.state, body, engine.faults.checksFence);
-    if (!fenced.done || applyServingOrder(engine, name, body)) return fenced;
+    const fenceCheck = checkFence(memory.state, body, engine.faults.checksFence);
+    if (!fenceCheck.done || applyServingOrder(engine, name, body)) return fenceCheck;
     if ((name === 'prepare_map' || name === 'form_group') && body.map) {
       await memory.weights.load(body.map, engine.ranks);
-      const stillFenced = checkFence(memory.state, body, engine.faults.checksFence);
-      if (!stillFenced.done) return stillFenced;
+      const secondFenceCheck = checkFence(memory.state, body, engine.faults.checksFence);
+      if (!secondFenceCheck.done) return secondFenceCheck;
     }
     const outcome = applyOrder(memory.state, name, body);
     if (outcome.done && name === 'form_group') {
@@ -125,7 +125,7 @@
     name: string,
   ): Promise<void> => {
     const body = await readJson<OrderBody>(req);
-    const fault = takeOrderFault(engine, name);
+    const fault = consumeOrderFault(engine, name);
     if (fault === 'drop') {
       req.socket.destroy();
       return;
@@ -139,8 +139,8 @@
     }
     if (engine.memory !== memory) return;
     increment(engine.counts.orders, name);
-    if (fault === 'twice') await carryOut(name, body);
-    const outcome = await carryOut(name, body);
+    if (fault === 'twice') await executeOrder(name, body);
+    const outcome = await executeOrder(name, body);
     if (!outcome.done) increment(engine.counts.refusedOrders, outcome.refused);
     onOrder();
     if (fault === 'lose-answer') {
@@ -157,9 +157,11 @@
     pathname: string,
   ): Promise<void> => {
     const body = await readJson<{ prompt?: string; block_hashes?: string[] }>(req);
-    if (pathname === '/kv/import') engine.memory.cache.load(body.block_hashes ?? []);
-    const held = promptBlocks(body.prompt ?? '').filter((hash) => engine.memory.cache.has(hash));
-    sendJson(res, 200, { block_hashes: held });
+    if (pathname === '/kv/import') engine.memory.cache.importBlocks(body.block_hashes ?? []);
+    const storedHashes = promptBlocks(body.prompt ?? '').filter((hash) =>
+      engine.memory.cache.has(hash),
+    );
+    sendJson(res, 200, { block_hashes: storedHashes });
   };
 
   return async (req, res) => {
--- a/packages/stand-ins/src/engine/engine.ts
+++ b/packages/stand-ins/src/engine/engine.ts
@@ -1,4 +1,4 @@
-/** One engine: its batch, cache, map state and faults, without the doors to it. */
+/** One engine: its batch, cache, map state and faults, without its HTTP server. */
 import type { Clock, Random } from '@plantaindrum/common';
 import { createLagged } from '../lagged.js';
 import type { Signal } from '../signal.js';
@@ -12,48 +12,48 @@
 import type { WeightLoader } from './weights.js';
 import { createWeightLoader } from './weights.js';
 
-/** What happens to the next orders of a name (of any name if none is given). */
+/** Fault of the next `count` orders with this name, or with any name if none is given. */
 export interface OrderFault {
   fault: 'drop' | 'lose-answer' | 'twice' | 'hold';
   name?: string;
   count: number;
 }
 
-/** Faults of one engine, all off by default. */
+/** Faults that one engine can simulate, all off by default. */
 export interface EngineFaults {
-  /** Takes connections, answers nothing and makes no step. */
+  /** Accepts connections, but sends no responses and runs no steps. */
   frozen: boolean;
-  /** Speed by rank; 1 is usual, 0.5 takes twice the time. */
+  /** Relative speed by rank; 1 is normal, 0.5 doubles the step time. */
   speeds: number[];
-  /** Refuses orders with an old fence. */
+  /** Refuses orders with a stale fencing token. */
   checksFence: boolean;
-  /** What `GET /group` shows: the state now, as its last live report was, or nothing (503). */
+  /** Response of `GET /group`: the current state, the last one reported live, or none (503). */
   groupReport: 'live' | 'stale' | 'missing';
-  /** Each step's time varies by up to this share. */
+  /** Random variation of each step time, as a fraction of it in either direction. */
   timeNoise: number;
-  /** Share of cache events that are lost. */
+  /** Fraction of cache events that are lost. */
   eventDropShare: number;
   healthy: boolean;
-  /** Completions answer 503 without running. */
+  /** Completion requests get a 503 response without running. */
   refuses: boolean;
-  /** The next `count` streams are reset after so many tokens. */
+  /** The next `count` streams are reset after `afterTokens` tokens. */
   breakStreams: { count: number; afterTokens: number };
   orders: OrderFault[];
 }
 
-/** How often things happened in one engine. */
+/** Counters of one engine. */
 export interface EngineCounts {
   started: number;
   finished: number;
   cancelled: number;
   tokens: number;
-  /** Orders that a `hold` fault keeps back now. */
+  /** Orders currently delayed by a `hold` fault. */
   heldOrders: number;
   orders: Record<string, number>;
   refusedOrders: Record<string, number>;
 }
 
-/** Options that all engines of a process share. */
+/** Options shared by all engines of a process. */
 export interface EngineOptions {
   clock: Clock;
   random: Random;
@@ -68,14 +68,14 @@
   metricsLagMs: number;
 }
 
-/** Load as `GET /metrics` reports it. */
+/** Load as reported by `GET /metrics`. */
 export interface EngineLoad {
   running: number;
   waiting: number;
   cacheUsage: number;
 }
 
-/** What a crash loses. */
+/** State that is lost in a crash. */
 export interface EngineMemory {
   state: MapState;
   batch: Batch;
@@ -90,21 +90,21 @@
 /** One engine of the process. */
 export interface Engine {
   readonly index: number;
-  /** The ranks it runs. */
+  /** Numbers of the ranks that it runs. */
   readonly ranks: number[];
   readonly faults: EngineFaults;
   readonly counts: EngineCounts;
-  /** Generations started, by completion id (which follows from the prompt). */
+  /** Number of generations started, by completion id (which is derived from the prompt). */
   readonly starts: Map<string, number>;
-  /** Tokens that each rank computed, by rank, layer and expert. */
+  /** Tokens computed so far, by rank, layer and expert. */
   readonly tokensByExpert: Float64Array[][];
-  /** Time of each rank in the last step, in microseconds. */
+  /** Time that each rank took for the last step, in microseconds. */
   readonly rankUs: number[];
   memory: EngineMemory;
   alive: boolean;
-  /** Held orders go on when this is notified. */
+  /** Notified to release held orders. */
   readonly ordersReleased: Signal;
-  /** Loses all memory, as a crash does. */
+  /** Resets `memory` and the token counts, as a crash does. */
   wipe(): void;
 }
 
@@ -112,7 +112,7 @@
 export const createEngine = (
   index: number,
   ranks: number[],
-  shape: { layers: number; experts: number },
+  dimensions: { layers: number; experts: number },
   options: EngineOptions,
   onChange: () => void,
 ): Engine => {
@@ -179,7 +179,7 @@
     },
     starts: new Map(),
     tokensByExpert: ranks.map(() =>
-      Array.from({ length: shape.layers }, () => new Float64Array(shape.experts)),
+      Array.from({ length: dimensions.layers }, () => new Float64Array(dimensions.experts)),
     ),
     rankUs: ranks.map(() => 0),
     memory: createMemory(),
--- a/packages/stand-ins/src/engine/expert-map.ts
+++ b/packages/stand-ins/src/engine/expert-map.ts
@@ -1,10 +1,10 @@
-/** Where the experts of each layer live. */
+/** Placement of the experts of each layer on ranks. */
 export interface ExpertMap {
   version: number;
   layers: { expert: number; ranks: number[] }[][];
 }
 
-/** One replica of every expert, dealt out to the ranks in turn. */
+/** Creates a map with one replica of each expert, assigned to the ranks round-robin. */
 export const createRoundRobinMap = (
   version: number,
   layers: number,
@@ -17,8 +17,11 @@
   ),
 });
 
-/** The weights (layer and expert) that a map puts on some ranks. */
-export const weightsOn = (map: ExpertMap, ranks: number[]): { layer: number; expert: number }[] =>
+/** Returns the weights (layer and expert) that the given ranks need for a map. */
+export const weightsForRanks = (
+  map: ExpertMap,
+  ranks: number[],
+): { layer: number; expert: number }[] =>
   map.layers.flatMap((placements, layer) =>
     placements
       .filter((placement) => placement.ranks.some((rank) => ranks.includes(rank)))
--- a/packages/stand-ins/src/engine/group-stand-in.ts
+++ b/packages/stand-ins/src/engine/group-stand-in.ts
@@ -1,4 +1,6 @@
-/** A group of engines in one process: each has an address, all step together. */
+/**
+ * A group of engines in one process: each has its own HTTP server, and all run every step together.
+ */
 
 import { createSeededRandom, systemClock } from '@plantaindrum/common';
 import type { StandInServer } from '../http.js';
@@ -36,7 +38,7 @@
   metricsLagMs: 1000,
 };
 
-/** Starts an engine group; its control address is described in `control.ts`. */
+/** Starts an engine group; `control.ts` describes its control API. */
 export const createEngineGroupStandIn = async (
   options: EngineGroupStandInOptions = {},
 ): Promise<EngineGroupStandIn> => {
@@ -109,7 +111,7 @@
     notifyAll();
   };
 
-  const formAtStart = (): void => {
+  const formInitialGroups = (): void => {
     const rankCount = cfg.ranksPerEngine * (cfg.lockStep ? cfg.engines : 1);
     const map = createRoundRobinMap(1, cfg.layers, cfg.experts, rankCount);
     engines.forEach((engine) => {
@@ -145,7 +147,7 @@
     releaseOrders: (index: number) => {
       engineAt(index).ordersReleased.notify();
     },
-    movePopularity: popularity.move,
+    movePopularity: popularity.setMotion,
     oracle: oracle.report,
     resetOracle: oracle.reset,
     views: () => engines.map(viewOf),
@@ -158,12 +160,12 @@
       );
       return sums;
     },
-    waitFor: async (holds: () => boolean) => {
-      while (!holds()) await progressed.wait();
+    waitFor: async (predicate: () => boolean) => {
+      while (!predicate()) await progressed.wait();
     },
   };
   const control = await listen(createControlHandler(standIn), cfg.controlPort ?? 0);
-  if (cfg.formed) formAtStart();
+  if (cfg.formed) formInitialGroups();
 
   return {
     ...standIn,
--- a/packages/stand-ins/src/engine/group-types.ts
+++ b/packages/stand-ins/src/engine/group-types.ts
@@ -1,29 +1,32 @@
-/** What a group of engines in one process is asked for, and what it offers. */
+/** Options and interface of a group of engines in one process. */
 
 import type { Clock } from '@plantaindrum/common';
 import type { EngineCounts, EngineFaults, EngineLoad } from './engine.js';
 import type { OracleReport } from './oracle.js';
 import type { PopularityMotion } from './popularity.js';
 
-/** Options of an engine group; all have defaults. */
+/** Options of `createEngineGroupStandIn`; all have defaults. */
 export interface EngineGroupStandInOptions {
   engines?: number;
   ranksPerEngine?: number;
-  /** One group of all ranks, or each engine on its own. */
+  /** True: all engines form one group. False: each engine forms its own. */
   lockStep?: boolean;
-  /** False: the engines wait for `form_group`, as after a restart. */
+  /**
+   * Whether the group is formed at the start; if not, the engines wait for `form_group` as after a
+   * restart.
+   */
   formed?: boolean;
   group?: string;
   model?: string;
   layers?: number;
   experts?: number;
   seed?: number;
-  /** Time of a step under the base load spread evenly. */
+  /** Time of a step when only the base load is computed and evenly distributed. */
   stepMs?: number;
   baseTokensPerRank?: number;
   checksFence?: boolean;
   weightsUrl?: string;
-  /** Generations that one engine runs at once. */
+  /** Maximum number of generations that one engine runs concurrently. */
   maxRunning?: number;
   prefillTokensPerStep?: number;
   cacheBlocks?: number;
@@ -35,7 +38,7 @@
   clock?: Clock;
 }
 
-/** What one engine is doing. */
+/** Current state of one engine. */
 export interface EngineView extends EngineCounts, EngineLoad {
   url: string;
   alive: boolean;
@@ -46,23 +49,23 @@
   weights: { experts: number; bytes: number; retries: number };
 }
 
-/** The running group. */
+/** A running engine group. */
 export interface EngineGroupStandIn {
   readonly engines: string[];
   readonly control: string;
   setFaults(engine: number, change: Partial<EngineFaults>): void;
-  /** Ends all connections at once, stops listening and forgets everything. */
+  /** Simulates a crash: closes all connections, stops listening and loses all memory. */
   kill(engine: number): Promise<void>;
-  /** Listens at the same address again, with an empty memory. */
+  /** Listens on the same port again, with an empty memory. */
   restart(engine: number): Promise<void>;
   releaseOrders(engine: number): void;
   movePopularity(motion: PopularityMotion, seed?: number): void;
   oracle(recent?: number): OracleReport;
   resetOracle(): void;
   views(): EngineView[];
-  /** Generations started over all engines, by completion id. */
+  /** Number of generations started on all engines, by completion id. */
   starts(): Record<string, number>;
-  /** Resolves when `holds` is true; checked at each step, order, request and fault. */
-  waitFor(holds: () => boolean): Promise<void>;
+  /** Resolves when `predicate` returns true; checked on each step, order, request and fault. */
+  waitFor(predicate: () => boolean): Promise<void>;
   close(): Promise<void>;
 }
--- a/packages/stand-ins/src/engine/oracle.ts
+++ b/packages/stand-ins/src/engine/oracle.ts
@@ -1,49 +1,49 @@
 import { createHistogram } from '../histogram.js';
 import type { HistogramStats } from '../histogram.js';
 
-/** What every rank did in one step. */
+/** Record of one step of a group. */
 export interface StepRecord {
   group: string;
   step: number;
-  /** The map version that each rank used, by rank. */
+  /** Map version used by each rank. */
   versions: number[];
-  /** Time that each rank took, in microseconds. */
+  /** Time taken by each rank, in microseconds. */
   rankUs: number[];
-  /** The slowest rank's time less the fastest's, in microseconds. */
+  /** Difference between the slowest and the fastest rank, in microseconds. */
   skewUs: number;
 }
 
-/** What the oracle has seen of all groups. */
+/** Observations over the steps of all groups. */
 export interface OracleReport {
   steps: number;
-  /** Steps in which two ranks used different versions; must be 0. */
+  /** Number of steps in which ranks used different map versions; must be 0. */
   mixedSteps: number;
-  /** Up to ten of the mixed steps. */
+  /** The first mixed steps, ten at most. */
   mixed: StepRecord[];
-  /** Steps that were made by some of a group's ranks while others made steps without them. */
+  /** Number of steps run by a part of a group's ranks while others could step without them. */
   splitSteps: number;
   /** Number of steps by map version. */
   stepsByVersion: Record<string, number>;
   skewUs: HistogramStats;
   stepUs: HistogramStats;
-  /** Times that a group stood still for holds, and their lengths. */
+  /** Durations for which a group was held before a step. */
   holdUs: HistogramStats;
-  /** The last steps, oldest first. */
+  /** The latest steps, oldest first. */
   recent: StepRecord[];
 }
 
-/** Watches every step of every group. */
+/** Records every step of every group. */
 export interface Oracle {
   record(step: StepRecord, holdUs: number, split: boolean): void;
   report(recent?: number): OracleReport;
-  /** Starts the figures anew; mixed and split steps are kept. */
+  /** Resets the statistics, except for mixed and split steps. */
   reset(): void;
 }
 
-const MOST_MIXED = 10;
-const MOST_RECENT = 2000;
+const MAX_MIXED_RECORDS = 10;
+const MAX_RECENT_RECORDS = 2000;
 
-/** Creates an oracle that has seen nothing. */
+/** Creates an oracle without records. */
 export const createOracle = (): Oracle => {
   let steps = 0;
   let mixedSteps = 0;
@@ -69,13 +69,13 @@
       countVersions(versions);
       if (versions.size > 1) {
         mixedSteps += 1;
-        if (mixed.length < MOST_MIXED) mixed.push(step);
+        if (mixed.length < MAX_MIXED_RECORDS) mixed.push(step);
       }
       skew.record(step.skewUs);
       duration.record(Math.max(...step.rankUs));
       if (holdUs > 0) hold.record(holdUs);
       recent.push(step);
-      if (recent.length > 2 * MOST_RECENT) recent = recent.slice(-MOST_RECENT);
+      if (recent.length > 2 * MAX_RECENT_RECORDS) recent = recent.slice(-MAX_RECENT_RECORDS);
     },
     report: (last = 0) => ({
       steps,
--- a/packages/stand-ins/src/engine/orders.ts
+++ b/packages/stand-ins/src/engine/orders.ts
@@ -1,22 +1,22 @@
-/** What orders do to the ranks of one engine. */
+/** Effects of orders on the map state of one engine. */
 import type { ExpertMap } from './expert-map.js';
 
-/** Map state of one engine; its ranks always share it, as an order goes to the engine. */
+/** Map state of one engine, shared by its ranks because an order applies to the whole engine. */
 export interface MapState {
-  /** The highest fence seen. */
+  /** The highest fencing token received. */
   fence: number;
-  /** The group as it was last formed; null for an engine with an empty memory. */
+  /** The group that this engine last joined; null after a start. */
   formed: { group: string; fence: number; rankCount: number } | null;
-  /** The last step that began. */
+  /** Number of the last step that started. */
   step: number;
   map: ExpertMap | null;
   prepared: Map<number, ExpertMap>;
   armed: { version: number; atStep: number; decided: boolean } | null;
-  /** The highest version that these ranks will never prepare or arm. */
+  /** This version and all lower ones can no longer be prepared or armed. */
   refusedTo: number;
 }
 
-/** Why an order was refused. */
+/** Reason for refusing an order. */
 export type OrderRefusal =
   | 'old-fence'
   | 'late'
@@ -29,7 +29,7 @@
   | 'not-formed'
   | 'unknown-order';
 
-/** The body of an order; which fields it needs depends on its name. */
+/** Body of an order; the required fields depend on its name. */
 export interface OrderBody {
   fence?: number;
   group?: string;
@@ -40,13 +40,13 @@
   name?: string;
 }
 
-/** What became of an order. */
+/** Result of an order. */
 export type OrderOutcome = { done: true } | { done: false; refused: OrderRefusal };
 
 const DONE: OrderOutcome = { done: true };
 const refuse = (refused: OrderRefusal): OrderOutcome => ({ done: false, refused });
 
-/** Creates the state of an engine that has just started. */
+/** Creates the state of a newly started engine. */
 export const createMapState = (): MapState => ({
   fence: 0,
   formed: null,
@@ -83,8 +83,8 @@
 const arm = (state: MapState, body: OrderBody): OrderOutcome => {
   const { version = 0, at_step: atStep = 0 } = body;
   if (!state.formed) return refuse('not-formed');
-  const same = state.armed?.version === version && state.armed.atStep === atStep;
-  if (same) return DONE;
+  const isRepeat = state.armed?.version === version && state.armed.atStep === atStep;
+  if (isRepeat) return DONE;
   if (state.armed) return refuse('busy');
   if (version <= state.refusedTo) return refuse('refused');
   if (!state.prepared.has(version)) return refuse('not-prepared');
@@ -103,7 +103,7 @@
   if (state.map?.version === version || state.armed?.version === version) return refuse('armed');
   Object.assign(state, { refusedTo: Math.max(state.refusedTo, version) });
   const refused = [...state.prepared.keys()].filter((prepared) => prepared <= version);
-  // An armed version is prepared too, and may be smaller than the refused one.
+  // The armed version may be lower than the refused one and must stay prepared.
   refused
     .filter((prepared) => prepared !== state.armed?.version)
     .forEach((prepared) => state.prepared.delete(prepared));
@@ -116,16 +116,16 @@
   return refuseVersion(state, body);
 };
 
-/** Refuses an old fence if the engine checks, and remembers the highest. */
-export const checkFence = (state: MapState, body: OrderBody, checks: boolean): OrderOutcome => {
+/** Refuses a stale fencing token if checking is enabled, and records the highest one. */
+export const checkFence = (state: MapState, body: OrderBody, isEnforced: boolean): OrderOutcome => {
   const { fence } = body;
   if (fence === undefined) return DONE;
-  if (checks && fence < state.fence) return refuse('old-fence');
+  if (isEnforced && fence < state.fence) return refuse('old-fence');
   Object.assign(state, { fence: Math.max(state.fence, fence) });
   return DONE;
 };
 
-/** Carries out an order that has passed the fence; `prepare_map` after its weights are loaded. */
+/** Applies an order after its fence check and, for `prepare_map`, after its weights are loaded. */
 export const applyOrder = (state: MapState, name: string, body: OrderBody): OrderOutcome => {
   switch (name) {
     case 'form_group':
@@ -145,17 +145,21 @@
   }
 };
 
-/** True when these ranks may not begin step `next` yet. */
-export const holdsBefore = (state: MapState, next: number): boolean =>
+/**
+ * Returns true while these ranks must not start step `next`: it has an armed but undecided switch.
+ */
+export const mustWaitBefore = (state: MapState, next: number): boolean =>
   state.armed !== null && !state.armed.decided && next >= state.armed.atStep;
 
-/** Begins step `next`: a decided switch takes effect when its step has come. */
+/** Starts step `next`; a decided switch takes effect once its step is reached. */
 export const beginStep = (state: MapState, next: number): void => {
   const { armed } = state;
   if (armed?.decided && next >= armed.atStep) {
     const map = state.prepared.get(armed.version) ?? state.map;
-    const old = [...state.prepared.keys()].filter((version) => version <= armed.version);
-    old.forEach((version) => state.prepared.delete(version));
+    const obsoleteVersions = [...state.prepared.keys()].filter(
+      (version) => version <= armed.version,
+    );
+    obsoleteVersions.forEach((version) => state.prepared.delete(version));
     Object.assign(state, { map, armed: null });
   }
   Object.assign(state, { step: next });
--- a/packages/stand-ins/src/engine/popularity.ts
+++ b/packages/stand-ins/src/engine/popularity.ts
@@ -1,20 +1,27 @@
 import { createSeededRandom } from '@plantaindrum/common';
 
-/** How the popularity of experts moves: not at all, slowly, at once, or to and fro. */
+/**
+ * How expert popularity changes: not at all, gradually, abruptly, or alternating between two
+ * states.
+ */
 export type PopularityMotion = 'steady' | 'drift' | 'shift' | 'cycle';
 
-/** The share of tokens that goes to each expert of each layer. */
+/** Fraction of the tokens that each expert of each layer receives. */
 export interface Popularity {
-  /** Shares by layer and expert at a step; each layer sums to 1. */
+  /** Returns the fractions at a step, by layer and expert; those of a layer add up to 1. */
   at(step: number): number[][];
-  /** `shift` deals the experts anew from the seed, once; the others last until the next move. */
-  move(motion: PopularityMotion, seed?: number): void;
+  /**
+   * `shift` shuffles the experts once, with the seed; other motions apply until the next change.
+   */
+  setMotion(motion: PopularityMotion, seed?: number): void;
 }
 
 const DRIFT_PERIOD_STEPS = 4000;
+/** Amplitude of the drift, relative to an expert's base weight. */
 const DRIFT_DEPTH = 0.8;
-/** Steps between two changes of a cycle, as between releases. */
+/** Steps between two changes of a cycle; simulates successive releases. */
 const CYCLE_STEPS = 2000;
+/** Exponent of the Zipf distribution. */
 const SKEW_EXPONENT = 0.7;
 
 const shuffled = (count: number, seed: number): number[] => {
@@ -29,48 +36,55 @@
   return weights.map((weight) => weight / sum);
 };
 
-/** Creates a seeded trace: a Zipf-like order of experts, with a sine of its own for each. */
+/**
+ * Creates a seeded model: Zipf-distributed weights; `drift` modulates each expert by a
+ * phase-shifted sine.
+ */
 export const createPopularity = (layers: number, experts: number, seed: number): Popularity => {
-  const deal = (dealtSeed: number): number[][] =>
-    Array.from({ length: layers }, (_, layer) => shuffled(experts, dealtSeed * 1000 + layer));
-  let dealt = seed;
+  const shuffleLayers = (baseSeed: number): number[][] =>
+    Array.from({ length: layers }, (_, layer) => shuffled(experts, baseSeed * 1000 + layer));
+  let currentSeed = seed;
   let motion: PopularityMotion = 'steady';
-  let orders = [deal(dealt), deal(dealt + 1)];
-  let cached: { moment: number; shares: number[][] } | undefined;
+  let orders = [shuffleLayers(currentSeed), shuffleLayers(currentSeed + 1)];
+  let cached: { timeIndex: number; shares: number[][] } | undefined;
 
-  /** Steps with the same moment have the same popularity. */
-  const momentOf = (step: number): number => {
+  /** Maps a step to a time index; steps with the same index have the same popularity. */
+  const timeIndexOf = (step: number): number => {
     if (motion === 'drift') return step;
     return motion === 'cycle' ? Math.floor(step / CYCLE_STEPS) % 2 : 0;
   };
 
-  const weight = (layer: number, expert: number, moment: number): number => {
-    const order = orders[motion === 'cycle' ? moment : 0];
-    const place = order?.[layer]?.[expert] ?? 0;
-    const base = 1 / (place + 1) ** SKEW_EXPONENT;
+  const weight = (layer: number, expert: number, timeIndex: number): number => {
+    const order = orders[motion === 'cycle' ? timeIndex : 0];
+    const popularityRank = order?.[layer]?.[expert] ?? 0;
+    const base = 1 / (popularityRank + 1) ** SKEW_EXPONENT;
     if (motion !== 'drift') return base;
     const phase = (expert / experts) * 2 * Math.PI;
-    return base * (1 + DRIFT_DEPTH * Math.sin((moment / DRIFT_PERIOD_STEPS) * 2 * Math.PI + phase));
+    return (
+      base * (1 + DRIFT_DEPTH * Math.sin((timeIndex / DRIFT_PERIOD_STEPS) * 2 * Math.PI + phase))
+    );
   };
 
   return {
     at: (step) => {
-      const moment = momentOf(step);
-      if (cached?.moment === moment) return cached.shares;
+      const timeIndex = timeIndexOf(step);
+      if (cached?.timeIndex === timeIndex) return cached.shares;
       const shares = Array.from({ length: layers }, (_, layer) =>
-        normalized(Array.from({ length: experts }, (__, expert) => weight(layer, expert, moment))),
+        normalized(
+          Array.from({ length: experts }, (__, expert) => weight(layer, expert, timeIndex)),
+        ),
       );
-      cached = { moment, shares };
+      cached = { timeIndex, shares };
       return shares;
     },
-    move: (next, nextSeed) => {
+    setMotion: (next, nextSeed) => {
       cached = undefined;
       if (next !== 'shift') {
         motion = next;
         return;
       }
-      dealt = nextSeed ?? dealt + 1;
-      orders = [deal(dealt), deal(dealt + 1)];
+      currentSeed = nextSeed ?? currentSeed + 1;
+      orders = [shuffleLayers(currentSeed), shuffleLayers(currentSeed + 1)];
     },
   };
 };
--- a/packages/stand-ins/src/engine/prefix-cache.ts
+++ b/packages/stand-ins/src/engine/prefix-cache.ts
@@ -1,36 +1,38 @@
 import type { Clock, Random } from '@plantaindrum/common';
 import { promptBlocks } from './text.js';
 
-/** A cache event as engines publish it. */
+/** A cache event in the format that engines publish. */
 export interface KvEvent {
   type: 'BlockStored' | 'BlockRemoved' | 'AllBlocksCleared';
   block_hashes: string[];
 }
 
-/** The prefix cache of one engine: least recently used blocks go first. */
+/** The prefix cache of one engine, with least-recently-used eviction. */
 export interface PrefixCache {
-  /** Stores the prompt's blocks; the number of leading blocks that were there. */
+  /**
+   * Stores the blocks of a prompt; returns the number of leading blocks that were already cached.
+   */
   use(prompt: string): number;
-  /** Stores blocks that another engine has exported. */
-  load(blocks: string[]): void;
+  /** Stores blocks exported by another engine. */
+  importBlocks(blocks: string[]): void;
   has(hash: string): boolean;
   clear(): void;
-  /** Share of the capacity in use, 0 to 1. */
+  /** Returns the used fraction of the capacity, from 0 to 1. */
   usage(): number;
   stats(): { hitBlocks: number; missedBlocks: number };
-  /** Delivers events late; dropped ones leave a gap in the sequence numbers. */
+  /** Delivers events with a delay; dropped events leave gaps in the sequence numbers. */
   subscribe(listener: (seq: number, event: KvEvent) => void): () => void;
   setDropShare(share: number): void;
 }
 
-/** Options of a prefix cache. */
+/** Options of `createPrefixCache`. */
 export interface PrefixCacheOptions {
   clock: Clock;
   random: Random;
   capacityBlocks: number;
-  /** How late events are. */
+  /** Delay of events. */
   eventLagMs: number;
-  /** Share of events that are lost. */
+  /** Fraction of events that are lost. */
   eventDropShare: number;
 }
 
@@ -48,15 +50,15 @@
     if (hashes.length === 0 && type !== 'AllBlocksCleared') return;
     seq += 1;
     if (random() < dropShare) return;
-    const number = seq;
+    const eventSeq = seq;
     const event: KvEvent = { type, block_hashes: hashes };
-    clock.after(eventLagMs, () => listeners.forEach((listener) => listener(number, event)));
+    clock.after(eventLagMs, () => listeners.forEach((listener) => listener(eventSeq, event)));
   };
 
   const evict = (): void => {
-    const surplus = [...blocks].slice(0, Math.max(0, blocks.size - capacityBlocks));
-    surplus.forEach((hash) => blocks.delete(hash));
-    publish('BlockRemoved', surplus);
+    const evicted = [...blocks].slice(0, Math.max(0, blocks.size - capacityBlocks));
+    evicted.forEach((hash) => blocks.delete(hash));
+    publish('BlockRemoved', evicted);
   };
 
   const store = (hashes: string[]): void => {
@@ -71,15 +73,15 @@
 
   return {
     use: (prompt) => {
-      const wanted = promptBlocks(prompt);
-      const missing = wanted.findIndex((hash) => !blocks.has(hash));
-      const hits = missing < 0 ? wanted.length : missing;
+      const promptHashes = promptBlocks(prompt);
+      const firstMiss = promptHashes.findIndex((hash) => !blocks.has(hash));
+      const hits = firstMiss < 0 ? promptHashes.length : firstMiss;
       hitBlocks += hits;
-      missedBlocks += wanted.length - hits;
-      store(wanted);
+      missedBlocks += promptHashes.length - hits;
+      store(promptHashes);
       return hits;
     },
-    load: store,
+    importBlocks: store,
     has: (hash) => blocks.has(hash),
     clear: () => {
       blocks.clear();
--- a/packages/stand-ins/src/engine/stepper.ts
+++ b/packages/stand-ins/src/engine/stepper.ts
@@ -1,53 +1,53 @@
-/** Lock-step: the ranks that were formed into one group make each step together or not at all. */
+/** Lock-step execution: the ranks of one group run each step together or not at all. */
 import type { Clock, Random } from '@plantaindrum/common';
 import { sleep } from '@plantaindrum/common';
 import type { Signal } from '../signal.js';
 import type { Engine } from './engine.js';
 import type { Oracle } from './oracle.js';
-import { beginStep, holdsBefore } from './orders.js';
+import { beginStep, mustWaitBefore } from './orders.js';
 import type { Popularity } from './popularity.js';
 
-/** Share of a step's time that does not depend on the rank's tokens. */
-const FIXED_SHARE = 0.4;
+/** Fraction of a step's base time that does not depend on the rank's tokens. */
+const FIXED_TIME_FRACTION = 0.4;
 
-/** Options of the stepper. */
+/** Options of `createStepper`. */
 export interface StepperOptions {
   engines: Engine[];
   clock: Clock;
-  /** Draws the noise of step times. */
+  /** Random source for the noise of step times. */
   random: Random;
   popularity: Popularity;
   oracle: Oracle;
-  /** Time of a step under the base load spread evenly, in microseconds. */
+  /** Time of a step when only the base load is computed and evenly distributed, in microseconds. */
   stepUs: number;
-  /** Tokens that every rank computes in each step besides its requests. */
+  /** Base load: tokens per rank in each step, in addition to those of requests. */
   baseTokensPerRank: number;
-  /** Notified whenever an engine was formed, released, frozen, killed or thawed. */
+  /** Notified whenever an order or a fault may have changed whether a group can step. */
   changed: Signal;
   /** Called after each step. */
   onStep(): void;
 }
 
-/** Drives the steps of all groups. */
+/** Runs the steps of all groups. */
 export interface Stepper {
-  /** Starts the steps of a group that an engine has just joined, if they don't run yet. */
+  /** Starts the step loop of the group that an engine has joined, unless it is already running. */
   join(engine: Engine): void;
   close(): void;
 }
 
-/** Ranks that were formed under the same name, fence and size communicate with each other. */
-const keyOf = (engine: Engine): string => JSON.stringify(engine.memory.state.formed);
+/** Engines formed with the same group name, fence and size communicate with each other. */
+const formationKey = (engine: Engine): string => JSON.stringify(engine.memory.state.formed);
 
-/** Starts no steps by itself; see `join`. */
+/** Creates a stepper; `join` starts the steps of a group. */
 export const createStepper = (options: StepperOptions): Stepper => {
   const { engines, clock, popularity, oracle, changed } = options;
-  const loops = new Set<string>();
+  const runningKeys = new Set<string>();
   let closed = false;
 
   const membersOf = (key: string): Engine[] =>
-    engines.filter((engine) => engine.alive && keyOf(engine) === key);
+    engines.filter((engine) => engine.alive && formationKey(engine) === key);
 
-  const isWhole = (members: Engine[]): boolean => {
+  const isComplete = (members: Engine[]): boolean => {
     const size = members.reduce((sum, engine) => sum + engine.ranks.length, 0);
     return size > 0 && size === members[0]?.memory.state.formed?.rankCount;
   };
@@ -56,52 +56,55 @@
     Math.max(...members.map((engine) => engine.memory.state.step)) + 1;
 
   const canStep = (members: Engine[]): boolean =>
-    isWhole(members) && !members.some((engine) => engine.faults.frozen);
+    isComplete(members) && !members.some((engine) => engine.faults.frozen);
 
   const isHeld = (members: Engine[]): boolean => {
     const next = nextStep(members);
-    return members.some((engine) => holdsBefore(engine.memory.state, next));
+    return members.some((engine) => mustWaitBefore(engine.memory.state, next));
   };
 
   const isSplit = (key: string, group: string): boolean => {
     const others = engines.filter(
-      (engine) => engine.memory.state.formed?.group === group && keyOf(engine) !== key,
+      (engine) => engine.memory.state.formed?.group === group && formationKey(engine) !== key,
     );
-    return others.some((engine) => canStep(membersOf(keyOf(engine))));
+    return others.some((engine) => canStep(membersOf(formationKey(engine))));
   };
 
-  /** Spreads a step's tokens over the ranks; the tokens of each rank. */
-  const spread = (members: Engine[], step: number): Map<number, number> => {
+  /**
+   * Distributes the tokens of a step over the experts' replicas; returns the tokens of each rank.
+   */
+  const distributeTokens = (members: Engine[], step: number): Map<number, number> => {
     const shares = popularity.at(step);
-    const places = new Map(
+    const expertTokensByRank = new Map(
       members.flatMap((engine) =>
         engine.ranks.map((rank, at) => [rank, engine.tokensByExpert[at] ?? []] as const),
       ),
     );
     const requested = members.reduce((sum, engine) => sum + engine.memory.batch.tokens(), 0);
-    const total = requested + options.baseTokensPerRank * places.size;
-    const loads = new Map([...places.keys()].map((rank) => [rank, 0]));
+    const total = requested + options.baseTokensPerRank * expertTokensByRank.size;
+    const tokensByRank = new Map([...expertTokensByRank.keys()].map((rank) => [rank, 0]));
     (members[0]?.memory.state.map?.layers ?? []).forEach((placements, layer) => {
       placements.forEach(({ expert, ranks }) => {
-        const each = ((shares[layer]?.[expert] ?? 0) * total) / ranks.length;
+        const tokensPerReplica = ((shares[layer]?.[expert] ?? 0) * total) / ranks.length;
         ranks.forEach((rank) => {
-          loads.set(rank, (loads.get(rank) ?? 0) + each);
-          const tokens = places.get(rank)?.[layer];
-          if (tokens) tokens[expert] = (tokens[expert] ?? 0) + each;
+          tokensByRank.set(rank, (tokensByRank.get(rank) ?? 0) + tokensPerReplica);
+          const tokens = expertTokensByRank.get(rank)?.[layer];
+          if (tokens) tokens[expert] = (tokens[expert] ?? 0) + tokensPerReplica;
         });
       });
     });
-    return loads;
+    return tokensByRank;
   };
 
-  const timeRanks = (members: Engine[], step: number): void => {
-    const loads = spread(members, step);
+  const computeRankTimes = (members: Engine[], step: number): void => {
+    const tokensByRank = distributeTokens(members, step);
     const layers = members[0]?.memory.state.map?.layers.length ?? 1;
-    const usual = options.baseTokensPerRank * layers;
+    const baselineTokens = options.baseTokensPerRank * layers;
     members.forEach((engine) =>
       engine.ranks.forEach((rank, at) => {
-        const load = (loads.get(rank) ?? 0) / usual;
-        const us = options.stepUs * (FIXED_SHARE + (1 - FIXED_SHARE) * load);
+        const relativeLoad = (tokensByRank.get(rank) ?? 0) / baselineTokens;
+        const us =
+          options.stepUs * (FIXED_TIME_FRACTION + (1 - FIXED_TIME_FRACTION) * relativeLoad);
         const { speeds, timeNoise } = engine.faults;
         const noise = timeNoise === 0 ? 1 : 1 + timeNoise * (2 * options.random() - 1);
         // eslint-disable-next-line no-param-reassign
@@ -114,7 +117,7 @@
     const next = nextStep(members);
     const group = members[0]?.memory.state.formed?.group ?? '';
     members.forEach((engine) => beginStep(engine.memory.state, next));
-    timeRanks(members, next);
+    computeRankTimes(members, next);
     const rankUs = members.flatMap((engine) => engine.rankUs);
     const versions = members.flatMap((engine) =>
       engine.ranks.map(() => engine.memory.state.map?.version ?? 0),
@@ -125,12 +128,14 @@
     while (!closed && members.some((engine) => engine.alive && engine.faults.frozen)) {
       await changed.wait();
     }
-    const together = members.every((engine) => engine.alive && keyOf(engine) === key);
-    if (together) members.forEach((engine) => engine.memory.batch.step());
+    const isGroupUnchanged = members.every(
+      (engine) => engine.alive && formationKey(engine) === key,
+    );
+    if (isGroupUnchanged) members.forEach((engine) => engine.memory.batch.step());
     options.onStep();
   };
 
-  /** The task of one group: it ends when no engine is formed under the key any more. */
+  /** Step loop of one group; it ends when no running engine belongs to the group any more. */
   const run = async (key: string): Promise<void> => {
     let heldSince: number | undefined;
     while (!closed) {
@@ -149,15 +154,15 @@
       heldSince = undefined;
       await step(key, members, holdUs);
     }
-    loops.delete(key);
+    runningKeys.delete(key);
   };
 
   return {
     join: (engine) => {
-      const key = keyOf(engine);
+      const key = formationKey(engine);
       changed.notify();
-      if (loops.has(key) || key === 'null') return;
-      loops.add(key);
+      if (runningKeys.has(key) || key === 'null') return;
+      runningKeys.add(key);
       void run(key);
     },
     close: () => {
--- a/packages/stand-ins/src/engine/text.ts
+++ b/packages/stand-ins/src/engine/text.ts
@@ -1,4 +1,4 @@
-/** Deterministic text: what a model answers follows from the prompt alone. */
+/** Deterministic model output: the text of a response depends on the prompt only. */
 import { createHash } from 'node:crypto';
 import { createSeededRandom } from '@plantaindrum/common';
 
@@ -37,20 +37,23 @@
   'release',
 ];
 const CHARACTERS_PER_TOKEN = 4;
-const MOST_REMEMBERED = 4096;
-/** Odd, so that two offsets of one prompt never share a seed. */
+const MAX_CACHED_DIGESTS = 4096;
+/**
+ * Distance between the seeds of successive tokens; odd, so that two offsets of a prompt never share
+ * one.
+ */
 const TOKEN_STRIDE = 7919;
 
-/** Characters of a prompt that share one block of the prefix cache (16 tokens). */
+/** Characters per block of the prefix cache (16 tokens). */
 export const BLOCK_CHARACTERS = 64;
 
 const digest = (text: string): string => createHash('sha256').update(text).digest('hex');
 
-/** The prompt's length in tokens. */
+/** Returns the length of a prompt in tokens. */
 export const promptTokens = (prompt: string): number =>
   Math.max(1, Math.ceil(prompt.length / CHARACTERS_PER_TOKEN));
 
-/** Hashes of the prompt's whole blocks; each covers all text before it. */
+/** Returns the hashes of the prompt's full blocks; each hash also covers all preceding text. */
 export const promptBlocks = (prompt: string): string[] => {
   const blocks: string[] = [];
   for (let at = 0; at + BLOCK_CHARACTERS <= prompt.length; at += BLOCK_CHARACTERS) {
@@ -60,41 +63,46 @@
   return blocks;
 };
 
-const remembered = new Map<string, string>();
+const digestCache = new Map<string, string>();
 
-/** The digest of a prompt; remembered, as each of its tokens asks for it. */
+/** Returns the digest of a prompt; cached because every token of the response needs it. */
 const promptDigest = (prompt: string): string => {
-  const known = remembered.get(prompt);
-  if (known !== undefined) return known;
-  if (remembered.size >= MOST_REMEMBERED) remembered.clear();
+  const cachedDigest = digestCache.get(prompt);
+  if (cachedDigest !== undefined) return cachedDigest;
+  if (digestCache.size >= MAX_CACHED_DIGESTS) digestCache.clear();
   const computed = digest(prompt);
-  remembered.set(prompt, computed);
+  digestCache.set(prompt, computed);
   return computed;
 };
 
-/** The token at `offset` of the answer to `prompt`. */
+/** Returns the token at `offset` of the response to `prompt`. */
 export const tokenText = (prompt: string, offset: number): string => {
   const seed = Number.parseInt(promptDigest(prompt).slice(0, 12), 16);
   const random = createSeededRandom(seed + offset * TOKEN_STRIDE);
   return `${offset === 0 ? '' : ' '}${WORDS[Math.floor(random() * WORDS.length)]}`;
 };
 
-/** The whole answer to a prompt. */
+/** Returns the full response text for a prompt. */
 export const answerText = (prompt: string, maxTokens: number): string =>
   Array.from({ length: maxTokens }, (_, offset) => tokenText(prompt, offset)).join('');
 
-/** The id of a completion; it follows from the prompt, so that a resumed stream keeps it. */
+/** Returns the id of a completion; derived from the prompt, so that a resumed stream keeps it. */
 export const completionId = (prompt: string): string => `cmpl-${promptDigest(prompt).slice(0, 16)}`;
 
-const completion = (model: string, prompt: string, text: string, finish: 'length' | null) => ({
+const completion = (
+  model: string,
+  prompt: string,
+  text: string,
+  finishReason: 'length' | null,
+) => ({
   id: completionId(prompt),
   object: 'text_completion',
   created: 0,
   model,
-  choices: [{ index: 0, text, logprobs: null, finish_reason: finish }],
+  choices: [{ index: 0, text, logprobs: null, finish_reason: finishReason }],
 });
 
-/** One event of a streamed completion. */
+/** Returns the event for one token of a streamed completion. */
 export const tokenEvent = (
   model: string,
   prompt: string,
@@ -109,7 +117,7 @@
 /** The event that ends a stream. */
 export const DONE_EVENT = 'data: [DONE]\n\n';
 
-/** The whole body of a streamed answer, from the token after `resumeAfter`. */
+/** Returns the full body of a streamed response, starting after the token `resumeAfter`. */
 export const streamBody = (
   model: string,
   prompt: string,
@@ -123,15 +131,15 @@
   return events.join('') + DONE_EVENT;
 };
 
-/** The body of an answer that is not streamed. */
+/** Returns the body of a response that is not streamed. */
 export const completionBody = (model: string, prompt: string, maxTokens: number): string => {
-  const prompted = promptTokens(prompt);
+  const promptTokenCount = promptTokens(prompt);
   return JSON.stringify({
     ...completion(model, prompt, answerText(prompt, maxTokens), 'length'),
     usage: {
-      prompt_tokens: prompted,
+      prompt_tokens: promptTokenCount,
       completion_tokens: maxTokens,
-      total_tokens: prompted + maxTokens,
+      total_tokens: promptTokenCount + maxTokens,
     },
   });
 };
--- a/packages/stand-ins/src/engine/weights.ts
+++ b/packages/stand-ins/src/engine/weights.ts
@@ -1,32 +1,36 @@
-/** Loads experts' weights from the weight store, with resume and the store's rate limit obeyed. */
+/**
+ * Loads expert weights from the weight store; resumes partial reads and respects the rate limit.
+ */
 import type { Clock } from '@plantaindrum/common';
 import { sleep } from '@plantaindrum/common';
 import { request } from 'undici';
 import type { ExpertMap } from './expert-map.js';
-import { weightsOn } from './expert-map.js';
+import { weightsForRanks } from './expert-map.js';
 
-const RETRY_MS = 200;
+const RETRY_DELAY_MS = 200;
 
-/** Loads weights; what is loaded stays loaded. */
+/** Loads weights and keeps them loaded. */
 export interface WeightLoader {
-  /** Resolves when every weight that `map` puts on `ranks` is loaded. */
+  /** Resolves when all weights that `ranks` need for `map` are loaded. */
   load(map: ExpertMap, ranks: number[]): Promise<void>;
   stats(): { experts: number; bytes: number; retries: number };
   close(): void;
 }
 
-/** Creates a loader; without a store's address loading is immediate. */
+/** Creates a loader; without a store URL, loading completes immediately. */
 export const createWeightLoader = (
   clock: Clock,
   model: string,
   storeUrl: string | undefined,
 ): WeightLoader => {
-  const loads = new Map<string, Promise<void>>();
+  const loadsByPath = new Map<string, Promise<void>>();
   const stats = { experts: 0, bytes: 0, retries: 0 };
   let closed = false;
 
-  /** Reads what is missing; the milliseconds to wait before the next try, or 0 when whole. */
-  const readRest = async (url: string, progress: { bytes: number }): Promise<number> => {
+  /**
+   * Reads the missing bytes; returns the delay before the next attempt (ms), or 0 when complete.
+   */
+  const readRemaining = async (url: string, progress: { bytes: number }): Promise<number> => {
     try {
       const res = await request(url, { headers: { range: `bytes=${progress.bytes}-` } });
       if (res.statusCode === 429) {
@@ -35,7 +39,7 @@
       }
       if (res.statusCode !== 206) {
         await res.body.dump();
-        return RETRY_MS;
+        return RETRY_DELAY_MS;
       }
       for await (const chunk of res.body) {
         // eslint-disable-next-line no-param-reassign
@@ -44,14 +48,14 @@
       }
       return 0;
     } catch {
-      return RETRY_MS;
+      return RETRY_DELAY_MS;
     }
   };
 
   const loadOne = async (path: string): Promise<void> => {
     const progress = { bytes: 0 };
     while (!closed) {
-      const waitMs = await readRest(`${storeUrl}/weights/${path}`, progress);
+      const waitMs = await readRemaining(`${storeUrl}/weights/${path}`, progress);
       if (waitMs === 0) break;
       stats.retries += 1;
       await sleep(clock, waitMs);
@@ -59,17 +63,17 @@
     stats.experts += 1;
   };
 
-  const ensure = (path: string): Promise<void> => {
-    const known = loads.get(path) ?? loadOne(path);
-    loads.set(path, known);
-    return known;
+  const loadOnce = (path: string): Promise<void> => {
+    const loading = loadsByPath.get(path) ?? loadOne(path);
+    loadsByPath.set(path, loading);
+    return loading;
   };
 
   return {
     load: async (map, ranks) => {
       if (storeUrl === undefined) return;
-      for (const { layer, expert } of weightsOn(map, ranks)) {
-        await ensure(`${model}/${layer}/${expert}`);
+      for (const { layer, expert } of weightsForRanks(map, ranks)) {
+        await loadOnce(`${model}/${layer}/${expert}`);
       }
     },
     stats: () => ({ ...stats }),
--- a/packages/stand-ins/test/engine.test.ts
+++ b/packages/stand-ins/test/engine.test.ts
@@ -26,17 +26,17 @@
       headers,
     });
 
-  it('streams the text that follows from the prompt, and resumes it byte for byte', async () => {
-    const whole = await complete({ stream: true });
-    const rest = await complete({ stream: true }, { 'last-event-id': '1' });
-    expect(whole.text).to.equal(streamBody(MODEL, 'lot 7', 4));
-    expect(rest.text).to.equal(streamBody(MODEL, 'lot 7', 4, 1));
-    expect(whole.text.endsWith(rest.text)).to.equal(true);
+  it('streams the text derived from the prompt and resumes it byte for byte', async () => {
+    const full = await complete({ stream: true });
+    const tail = await complete({ stream: true }, { 'last-event-id': '1' });
+    expect(full.text).to.equal(streamBody(MODEL, 'lot 7', 4));
+    expect(tail.text).to.equal(streamBody(MODEL, 'lot 7', 4, 1));
+    expect(full.text.endsWith(tail.text)).to.equal(true);
     expect((await complete({})).json.choices[0].text).to.equal(answerText('lot 7', 4));
-    expect(whole.text).toMatchSnapshot();
+    expect(full.text).toMatchSnapshot();
   });
 
-  it('refuses what it cannot serve, and serves a model once it is loaded', async () => {
+  it('rejects invalid requests and unknown models, and serves a model once it is loaded', async () => {
     const statuses = [
       (await complete({ prompt: 7 })).status,
       (await complete({ model: 'other' })).status,
@@ -46,7 +46,7 @@
     expect(statuses).to.deep.equal([400, 404, 200]);
   });
 
-  it('cancels a generation whose caller has gone', async () => {
+  it('cancels a generation when its caller disconnects', async () => {
     const abort = new AbortController();
     const res = await request(`${group.engines[0]}/v1/completions`, {
       method: 'POST',
@@ -59,7 +59,7 @@
     await group.waitFor(() => view()?.cancelled === 1 && view()?.running === 0);
   });
 
-  it('takes waiting generations by priority, lower first', async () => {
+  it('admits waiting generations by priority, lower values first', async () => {
     group.setFaults(0, { frozen: false });
     const order: string[] = [];
     const first = complete({ prompt: 'first', max_tokens: 50 });
@@ -71,7 +71,7 @@
     expect(order).to.deep.equal(['high', 'low']);
   });
 
-  it('breaks streams, refuses, and goes silent while it is frozen', async () => {
+  it('resets streams, refuses requests, and sends no responses while frozen', async () => {
     group.setFaults(0, { breakStreams: { count: 1, afterTokens: 2 } });
     expect((await complete({ stream: true })).status).to.equal(0);
     group.setFaults(0, { refuses: true, healthy: false });
@@ -85,7 +85,7 @@
     expect((await frozen).status).to.equal(200);
   });
 
-  it('exports the blocks that it holds and imports those of another engine', async () => {
+  it('exports its cached blocks and imports those of another engine', async () => {
     const prompt = 'condition summary '.repeat(20);
     const blocks = promptBlocks(prompt);
     const url = `${group.engines[0]}/kv`;
@@ -95,7 +95,7 @@
     expect(view()?.hitBlocks).to.equal(blocks.length);
   });
 
-  it('forgets everything in a restart at the same address', async () => {
+  it('loses its state in a restart at the same address', async () => {
     await complete({});
     await group.kill(0);
     expect((await complete({})).status).to.equal(0);
@@ -105,8 +105,8 @@
   });
 });
 
-describe('what an engine publishes', () => {
-  it('publishes cache events late and with gaps in their numbers', async () => {
+describe('published engine state', () => {
+  it('publishes cache events with a delay and gaps in their sequence numbers', async () => {
     const clock = createManualClock();
     const cache = createPrefixCache({
       clock,
@@ -125,7 +125,7 @@
     expect(cache.usage()).to.equal(1);
   });
 
-  it('shows lagging values as they were', async () => {
+  it('returns the earlier value until the delay has passed', async () => {
     const clock = createManualClock();
     const lagged = createLagged(clock, 'old', 100);
     lagged.set('new');
@@ -136,11 +136,11 @@
   });
 });
 
-describe('popularity of experts', () => {
-  const moves = (motion: 'steady' | 'drift' | 'shift' | 'cycle') => {
+describe('expert popularity', () => {
+  const simulate = (motion: 'steady' | 'drift' | 'shift' | 'cycle') => {
     const popularity = createPopularity(1, 16, 5);
     const before = popularity.at(1)[0];
-    popularity.move(motion);
+    popularity.setMotion(motion);
     return [1, 2, 2001, 4001].map((step) => {
       const shares = popularity.at(step)[0] ?? [];
       expect(shares.reduce((sum, share) => sum + share, 0)).to.be.closeTo(1, 1e-9);
@@ -148,12 +148,12 @@
     });
   };
 
-  it('stays, drifts, shifts at once, or changes to and fro', () => {
+  it('stays constant, drifts, shifts once, or alternates', () => {
     expect({
-      steady: moves('steady'),
-      drift: moves('drift'),
-      shift: moves('shift'),
-      cycle: moves('cycle'),
+      steady: simulate('steady'),
+      drift: simulate('drift'),
+      shift: simulate('shift'),
+      cycle: simulate('cycle'),
     }).to.deep.equal({
       steady: ['same', 'same', 'same', 'same'],
       drift: ['other', 'other', 'other', 'other'],
--- a/packages/stand-ins/test/lock-step.test.ts
+++ b/packages/stand-ins/test/lock-step.test.ts
@@ -8,7 +8,7 @@
 import { call } from './http.js';
 
 const MAP = { ...createRoundRobinMap(2, 2, 8, 2), version: 2 };
-const FAR = 1e9;
+const DISTANT_STEP = 1e9;
 
 describe('lock-step of an engine group', () => {
   let group: EngineGroupStandIn;
@@ -26,16 +26,16 @@
   const ranks = async (engine: number) =>
     (await call(`${group.engines[engine]}/group`)).json.ranks[0];
   const steps = () => group.oracle().steps;
-  const awaitSteps = (more: number) => {
-    const until = steps() + more;
-    return group.waitFor(() => steps() >= until);
+  const awaitSteps = (count: number) => {
+    const target = steps() + count;
+    return group.waitFor(() => steps() >= target);
   };
-  const upcoming = async () => (await ranks(0)).step + 30;
+  const futureStep = async () => (await ranks(0)).step + 30;
 
   it('switches all ranks at the armed step', async () => {
     await start();
     await both('prepare_map', { map: MAP });
-    const atStep = await upcoming();
+    const atStep = await futureStep();
     await both('arm_map', { at_step: atStep });
     await both('switch_map');
     await group.waitFor(() => group.oracle().stepsByVersion['2'] !== undefined);
@@ -44,15 +44,15 @@
     expect([first?.step, first?.versions, mixedSteps]).to.deep.equal([atStep, [2, 2], 0]);
   });
 
-  it('holds the whole group until the last rank has its decision', async () => {
+  it('holds the group until all ranks have received the decision', async () => {
     await start();
     await both('prepare_map', { map: MAP });
-    await both('arm_map', { at_step: await upcoming() });
+    await both('arm_map', { at_step: await futureStep() });
     await order(0, 'switch_map', {});
     while (!(await ranks(1)).holding);
-    const held = steps();
+    const heldSteps = steps();
     await order(1, 'abort_map', { version: 9 });
-    expect(steps()).to.equal(held);
+    expect(steps()).to.equal(heldSteps);
     await order(1, 'switch_map', {});
     await awaitSteps(3);
     expect(group.oracle().holdUs.count).to.equal(1);
@@ -61,7 +61,7 @@
   it('counts a mixed step when decisions contradict each other', async () => {
     await start();
     await both('prepare_map', { map: MAP });
-    await both('arm_map', { at_step: await upcoming() });
+    await both('arm_map', { at_step: await futureStep() });
     await order(0, 'switch_map', {});
     await order(1, 'abort_map', {});
     await group.waitFor(() => group.oracle().mixedSteps > 0);
@@ -73,11 +73,11 @@
     const refusal = async (name: string, body: object) =>
       (await order(0, name, body)).json.refused as string;
     const refusals: Record<string, string> = {};
-    refusals.unprepared = await refusal('arm_map', { at_step: FAR });
+    refusals.unprepared = await refusal('arm_map', { at_step: DISTANT_STEP });
     await both('prepare_map', { map: MAP });
     refusals.begun = await refusal('arm_map', { at_step: 1 });
-    await order(0, 'arm_map', { at_step: FAR });
-    refusals.otherwise = await refusal('arm_map', { at_step: FAR + 1 });
+    await order(0, 'arm_map', { at_step: DISTANT_STEP });
+    refusals.otherwise = await refusal('arm_map', { at_step: DISTANT_STEP + 1 });
     refusals.armed = await refusal('refuse_map', {});
     await order(0, 'switch_map', {});
     refusals.decided = await refusal('abort_map', {});
@@ -89,29 +89,29 @@
     expect({ refusals, armed: (await ranks(0)).armed }).toMatchSnapshot();
   });
 
-  it('has no decision for a version that is not armed', async () => {
+  it('ignores a decision for a version that is not armed', async () => {
     await start();
     await both('prepare_map', { map: MAP });
     await both('switch_map');
-    const atStep = await upcoming();
+    const atStep = await futureStep();
     await both('arm_map', { at_step: atStep });
     while (!(await ranks(0)).holding);
     expect((await ranks(0)).version).to.equal(1);
   });
 
   for (const checksFence of [true, false]) {
-    it(`${checksFence ? 'refuses' : 'obeys'} an old fence`, async () => {
+    it(`${checksFence ? 'refuses' : 'obeys'} an order with a stale fence`, async () => {
       await start({ checksFence });
       await order(0, 'prepare_map', { map: MAP, fence: 7 });
-      const old = await order(0, 'prepare_map', { map: { ...MAP, version: 3 }, version: 3 });
-      expect([old.status, old.json.refused]).to.deep.equal(
+      const stale = await order(0, 'prepare_map', { map: { ...MAP, version: 3 }, version: 3 });
+      expect([stale.status, stale.json.refused]).to.deep.equal(
         checksFence ? [409, 'old-fence'] : [200, undefined],
       );
       expect((await ranks(0)).prepared).to.deep.equal(checksFence ? [2] : [2, 3]);
     });
   }
 
-  it('stands still without a dead rank until the others are formed anew', async () => {
+  it('stops stepping when a rank is lost until the others form a new group', async () => {
     await start();
     await awaitSteps(3);
     await group.kill(1);
@@ -125,9 +125,9 @@
     expect([group.oracle().mixedSteps, group.oracle().splitSteps]).to.deep.equal([0, 0]);
   });
 
-  // A rank freezes in the group of fence 5 and the others are formed anew without it. When it wakes
-  // it still believes in the old group, which has too few ranks left to make a step.
-  it('lets a rank that slept through a new group make no step', async () => {
+  // A rank freezes while the other rank forms a new group without it. After it resumes, it still
+  // belongs to the old group, which is incomplete: a step there would split the group.
+  it('runs no step on a rank that was frozen while the others formed a new group', async () => {
     await start();
     await awaitSteps(3);
     group.setFaults(1, { frozen: true });
@@ -135,14 +135,14 @@
     await order(0, 'form_group', { group: 'group-1', rank_count: 1, map });
     await awaitSteps(3);
     group.setFaults(1, { frozen: false });
-    const slept = (await ranks(1)).step;
+    const frozenAtStep = (await ranks(1)).step;
     await awaitSteps(5);
-    expect((await ranks(1)).step).to.equal(slept);
+    expect((await ranks(1)).step).to.equal(frozenAtStep);
     expect([group.oracle().mixedSteps, group.oracle().splitSteps]).to.deep.equal([0, 0]);
   });
 
-  // Two coordinators form one rank each under the same group's name, on engines that ignore the
-  // fence: both halves can step, which the oracle reports.
+  // Two coordinators each form a group of one rank under the same name, on engines that ignore the
+  // fence. Both halves can step, which the oracle must report.
   it('counts the steps of a group that was split in two', async () => {
     await start({ checksFence: false });
     const map = createRoundRobinMap(2, 2, 8, 1);
@@ -151,7 +151,7 @@
     await group.waitFor(() => group.oracle().splitSteps > 0);
   });
 
-  it('is as fast as its slowest rank, and shows the spread', async () => {
+  it('runs as fast as its slowest rank and reports the skew', async () => {
     await start();
     await awaitSteps(2);
     const before = group.oracle(1).recent[0];
@@ -162,7 +162,7 @@
     expect(after?.skewUs).to.be.greaterThan(before?.skewUs ?? 0);
   });
 
-  it('moves load among the ranks when popularity shifts', async () => {
+  it('redistributes load among the ranks when popularity shifts', async () => {
     await start();
     await awaitSteps(1);
     const before = group.oracle(1).recent[0]?.rankUs;
@@ -171,7 +171,7 @@
     expect(group.oracle(1).recent[0]?.rankUs).to.not.deep.equal(before);
   });
 
-  it('shows a stale report or none while it steps on, and noisy step times', async () => {
+  it('serves a stale report or none while steps continue, and adds noise to step times', async () => {
     await start();
     const step = async () => (await ranks(0)).step as number;
     await step();
@@ -189,7 +189,7 @@
     expect(times[0]?.[1]).to.equal(times[1]?.[1]);
   });
 
-  it('loads weights in spite of the rate limit and broken answers', async () => {
+  it('loads weights despite the rate limit and truncated responses', async () => {
     const store = await createWeightStoreStandIn({ expertBytes: 100 });
     store.breakOff(2);
     await start({ weightsUrl: store.url });
@@ -198,7 +198,7 @@
     await store.close();
   });
 
-  it('drops, repeats, delays orders and loses their answers', async () => {
+  it('drops, repeats and delays orders, and loses their responses', async () => {
     await start();
     const prepare = () => order(0, 'prepare_map', { map: MAP });
     const preparedAfter = async (fault: 'drop' | 'lose-answer' | 'twice') => {
@@ -210,13 +210,13 @@
     expect(await preparedAfter('lose-answer')).to.deep.equal([0, 1]);
     expect(await preparedAfter('twice')).to.deep.equal([200, 1]);
     group.setFaults(0, { orders: [{ fault: 'hold', name: 'arm_map', count: 1 }] });
-    const held = order(0, 'arm_map', { at_step: FAR });
+    const held = order(0, 'arm_map', { at_step: DISTANT_STEP });
     await group.waitFor(() => group.views()[0]?.heldOrders === 1);
     expect((await ranks(0)).armed).to.equal(null);
     group.releaseOrders(0);
     expect((await held).json.ranks[0].armed).to.deep.equal({
       version: 2,
-      at_step: FAR,
+      at_step: DISTANT_STEP,
       decided: false,
     });
   });
