--- a/packages/stand-ins/src/engine/batch.ts
+++ b/packages/stand-ins/src/engine/batch.ts
@@ -59,8 +59,8 @@
       const generation = waiting.shift();
       if (!generation) return;
       const cached = cache.use(generation.prompt) * TOKENS_PER_BLOCK;
-      const prefillLeft = Math.max(0, promptTokens(generation.prompt) - cached);
-      running.push({ generation, remainingPrefillTokens: prefillLeft, nextToken: generation.from });
+      const remainingPrefillTokens = Math.max(0, promptTokens(generation.prompt) - cached);
+      running.push({ generation, remainingPrefillTokens, nextToken: generation.from });
     }
   };
 
--- a/packages/stand-ins/src/engine/oracle.ts
+++ b/packages/stand-ins/src/engine/oracle.ts
@@ -1,3 +1,4 @@
+/** Checks over all steps that the ranks of a group run together and with the same map. */
 import { createHistogram } from '../histogram.js';
 import type { HistogramStats } from '../histogram.js';
 
--- a/packages/stand-ins/src/engine/orders.ts
+++ b/packages/stand-ins/src/engine/orders.ts
@@ -145,9 +145,7 @@
   }
 };
 
-/**
- * Returns true while these ranks must not start step `next`: it has an armed but undecided switch.
- */
+/** Returns true if step `next` must wait because the switch armed for it is not yet decided. */
 export const mustWaitBefore = (state: MapState, next: number): boolean =>
   state.armed !== null && !state.armed.decided && next >= state.armed.atStep;
 
--- a/packages/stand-ins/src/log/log-stand-in.ts
+++ b/packages/stand-ins/src/log/log-stand-in.ts
@@ -13,6 +13,7 @@
 const CONTENT_TYPE = 'application/vnd.kafka.json.v2+json';
 const RECORDS_PATH = /^\/topics\/([^/]+)\/partitions\/(\d+)(?:\/(offsets|records))?$/;
 const DEFAULT_MAX_BYTES = 1_048_576;
+/** Error code of the Kafka REST interface. */
 const OFFSET_OUT_OF_RANGE = 40_402;
 
 /** Options of the log stand-in. */
--- a/packages/stand-ins/src/log/memory-log.ts
+++ b/packages/stand-ins/src/log/memory-log.ts
@@ -8,8 +8,8 @@
 import type { Log, LogFailure, LogRecord } from '@plantaindrum/service-clients';
 
 /**
- * Fault of one append; with `late-effect` the caller gets no result and the append takes effect
- * later.
+ * Fault of one append. With all but `none` and `down` its outcome is unknown to the caller:
+ * `lost-answer` takes effect, `lost-request` does not, and `late-effect` takes effect later.
  */
 export type AppendFault = 'none' | 'down' | 'lost-answer' | 'lost-request' | 'late-effect';
 
--- a/packages/stand-ins/src/main.ts
+++ b/packages/stand-ins/src/main.ts
@@ -19,7 +19,7 @@
 
 const closeOnExitSignal = (standIns: Closable[]): void => {
   const shutDown = async (): Promise<void> => {
-    await Promise.all(standIns.map((part) => part.close()));
+    await Promise.all(standIns.map((standIn) => standIn.close()));
     process.exit(0);
   };
   process.once('SIGTERM', shutDown);
--- a/packages/stand-ins/src/users-platform/server-stand-in.ts
+++ b/packages/stand-ins/src/users-platform/server-stand-in.ts
@@ -21,9 +21,7 @@
 export interface GroupStandIn {
   size: number;
   ranks: RankState[];
-  /**
-   * Starts the next pass unless a rank holds it; each rank adds `picks` to its selection counts.
-   */
+  /** Starts the next pass unless a rank holds it; each rank counts the experts that it selects. */
   pass(): void;
   /** Simulates the restart of a rank: the group forms in a new epoch with map 0. */
   reform(rank: number): void;
--- a/packages/stand-ins/src/users-platform/store-stand-in.ts
+++ b/packages/stand-ins/src/users-platform/store-stand-in.ts
@@ -50,8 +50,10 @@
   close(): Promise<void>;
 }
 
+/** Size of the length prefix of an encoded record. */
 const LENGTH_BYTES = 4;
 const GENERATION_HEADER = 'Store-Era';
+/** Maximum number of items in one response with latest values. */
 const PAGE_SIZE = 500;
 
 const encodeRecord = ({ key, value }: StoredRecord): Buffer => {
