--- a/packages/stand-ins/src/engine/group-stand-in.ts
+++ b/packages/stand-ins/src/engine/group-stand-in.ts
@@ -1,4 +1,6 @@
-/** A group of engines in one process: each has an address, all step together. */
+/**
+ * A group of engines in one process: each has its own HTTP server, and all run every step together.
+ */
 
 import { createSeededRandom, systemClock } from '@plantaindrum/common';
 import type { StandInServer } from '../http.js';
@@ -8,7 +10,7 @@
 import type { Engine, EngineFaults } from './engine.js';
 import { createEngine } from './engine.js';
 import { createEngineHandler } from './engine-server.js';
-import { dealtMap } from './expert-map.js';
+import { createRoundRobinMap } from './expert-map.js';
 import type { EngineGroupStandIn, EngineGroupStandInOptions, EngineView } from './group-types.js';
 import { createOracle } from './oracle.js';
 import { applyOrder } from './orders.js';
@@ -36,7 +38,7 @@
   metricsLagMs: 1000,
 };
 
-/** Starts an engine group; its control address is described in `control.ts`. */
+/** Starts an engine group; `control.ts` describes its control API. */
 export const createEngineGroupStandIn = async (
   options: EngineGroupStandInOptions = {},
 ): Promise<EngineGroupStandIn> => {
@@ -109,9 +111,9 @@
     notifyAll();
   };
 
-  const formAtStart = (): void => {
+  const formInitialGroups = (): void => {
     const rankCount = cfg.ranksPerEngine * (cfg.lockStep ? cfg.engines : 1);
-    const map = dealtMap(1, cfg.layers, cfg.experts, rankCount);
+    const map = createRoundRobinMap(1, cfg.layers, cfg.experts, rankCount);
     engines.forEach((engine) => {
       const group = cfg.lockStep ? cfg.group : `${cfg.group}-${engine.index}`;
       applyOrder(engine.memory.state, 'form_group', {
@@ -145,7 +147,7 @@
     releaseOrders: (index: number) => {
       engineAt(index).ordersReleased.notify();
     },
-    movePopularity: popularity.move,
+    movePopularity: popularity.setMotion,
     oracle: oracle.report,
     resetOracle: oracle.reset,
     views: () => engines.map(viewOf),
@@ -158,12 +160,12 @@
       );
       return sums;
     },
-    waitFor: async (holds: () => boolean) => {
-      while (!holds()) await progressed.wait();
+    waitFor: async (predicate: () => boolean) => {
+      while (!predicate()) await progressed.wait();
     },
   };
   const control = await listen(createControlHandler(standIn), cfg.controlPort ?? 0);
-  if (cfg.formed) formAtStart();
+  if (cfg.formed) formInitialGroups();
 
   return {
     ...standIn,
--- a/packages/stand-ins/test/http.ts
+++ b/packages/stand-ins/test/http.ts
@@ -1,15 +1,15 @@
 import type { ManualClock } from '@plantaindrum/common';
 import { request } from 'undici';
 
-/** One answer, read whole. */
-export interface Answer {
+/** An HTTP response with its full body. */
+export interface HttpResponse {
   status: number;
   headers: Record<string, string | string[] | undefined>;
   text: string;
   json: any;
 }
 
-const parsed = (text: string): unknown => {
+const parseJson = (text: string): unknown => {
   try {
     return JSON.parse(text);
   } catch {
@@ -17,7 +17,7 @@
   }
 };
 
-/** Calls an address; a lost connection gives status 0. */
+/** Sends a request; a lost connection yields status 0. */
 export const call = async (
   url: string,
   options: {
@@ -25,7 +25,7 @@
     body?: unknown;
     headers?: Record<string, string>;
   } = {},
-): Promise<Answer> => {
+): Promise<HttpResponse> => {
   const { body, headers, method = body === undefined ? 'GET' : 'POST' } = options;
   try {
     const res = await request(url, {
@@ -35,13 +35,13 @@
       reset: true,
     });
     const text = await res.body.text();
-    return { status: res.statusCode, headers: res.headers, text, json: parsed(text) };
+    return { status: res.statusCode, headers: res.headers, text, json: parseJson(text) };
   } catch {
     return { status: 0, headers: {}, text: '', json: undefined };
   }
 };
 
-/** Moves the clock in steps of `ms`, with room for I/O between, until the promise has settled. */
+/** Advances the clock in steps of `ms` until the promise settles, letting I/O run in between. */
 export const advanceUntil = async (
   clock: ManualClock,
   ms: number,
