--- a/packages/lab/src/harness/caller.ts
+++ b/packages/lab/src/harness/caller.ts
@@ -1,34 +1,34 @@
 import { Agent, request } from 'undici';
 import type { Dispatcher } from 'undici';
 
-/** A call at the callers' door. */
+/** A request to the caller server of an entry. */
 export interface CallSpec {
-  /** Base address of the entry. */
+  /** Base URL of the entry. */
   url: string;
   path: string;
   key: string;
-  /** Class header; without it the route or the organisation's default decides. */
+  /** Class header; without it the class follows from the route or from the organisation's default. */
   class?: string;
   idempotencyKey?: string;
   body?: unknown;
   method?: 'GET' | 'POST';
   signal?: AbortSignal;
-  /** Sees each SSE data line of a streamed answer as it arrives. */
+  /** Called with each SSE data line of a streamed response as it arrives. */
   onEvent?: (data: string) => void;
 }
 
-/** What became of a call, as its caller sees it. */
+/** Outcome of a call, as its caller sees it. */
 export type CallOutcome = 'answered' | 'not-run' | 'unknown' | 'error' | 'broken';
 
-/** A call's result; `broken` is a connection that ended with no explanation. */
+/** Result of a call; `broken` means that the connection ended without a full response or an error. */
 export interface CallResult {
   outcome: CallOutcome;
   status: number;
-  /** Reason of a refusal, empty for an answer. */
+  /** Reason of a refusal; empty when the call was answered. */
   reason: string;
   headers: Record<string, string | string[] | undefined>;
   body: string;
-  /** SSE data lines of a streamed answer. */
+  /** SSE data lines of a streamed response. */
   events: string[];
   firstByteMs: number;
   wholeMs: number;
@@ -47,13 +47,13 @@
   headersTimeout: 60_000,
 });
 
-const refusalOf = (text: string): { outcome: CallOutcome; reason: string } => {
+const parseRefusal = (text: string): { outcome: CallOutcome; reason: string } => {
   try {
     const { error } = JSON.parse(text) as RefusalBody;
     const outcome = error?.outcome === 'not-run' || error?.outcome === 'unknown';
     if (outcome) return { outcome: error.outcome as CallOutcome, reason: error.reason ?? '' };
   } catch {
-    // Not a refusal of ours: the status alone speaks.
+    // The body is no refusal of an entry: only the status says what happened.
   }
   return { outcome: 'error', reason: '' };
 };
@@ -63,7 +63,7 @@
   data: string;
 }
 
-const parseBlock = (block: string): SseEvent => {
+const parseSseEvent = (block: string): SseEvent => {
   const field = (name: string): string =>
     block
       .split('\n')
@@ -73,45 +73,49 @@
   return { event: field('event'), data: field('data') };
 };
 
-/** Splits a text that arrives in pieces into SSE events. */
+/** Splits text that arrives in chunks into SSE events. */
 const createSseReader = (onEvent: (event: SseEvent) => void) => {
-  let rest = '';
+  let buffered = '';
   return (text: string): void => {
-    rest += text;
-    for (let end = rest.indexOf('\n\n'); end >= 0; end = rest.indexOf('\n\n')) {
-      const block = rest.slice(0, end);
-      rest = rest.slice(end + 2);
-      if (block.trim() !== '') onEvent(parseBlock(block));
+    buffered += text;
+    for (let end = buffered.indexOf('\n\n'); end >= 0; end = buffered.indexOf('\n\n')) {
+      const block = buffered.slice(0, end);
+      buffered = buffered.slice(end + 2);
+      if (block.trim() !== '') onEvent(parseSseEvent(block));
     }
   };
 };
 
-const headersOf = (spec: CallSpec): Record<string, string> => ({
+const buildHeaders = (spec: CallSpec): Record<string, string> => ({
   authorization: `Bearer ${spec.key}`,
   ...(spec.body === undefined ? {} : { 'content-type': 'application/json' }),
   ...(spec.class === undefined ? {} : { 'x-plantaindrum-class': spec.class }),
   ...(spec.idempotencyKey === undefined ? {} : { 'idempotency-key': spec.idempotencyKey }),
 });
 
-const judge = (result: CallResult, streamed: boolean, failed?: SseEvent): CallResult => {
-  if (failed) return { ...result, ...refusalOf(failed.data) };
-  if (result.status >= 400) return { ...result, ...refusalOf(result.body) };
-  const whole = !streamed || result.events.at(-1) === '[DONE]';
-  return { ...result, outcome: whole ? 'answered' : 'broken' };
+const classifyResult = (
+  result: CallResult,
+  streamed: boolean,
+  errorEvent?: SseEvent,
+): CallResult => {
+  if (errorEvent) return { ...result, ...parseRefusal(errorEvent.data) };
+  if (result.status >= 400) return { ...result, ...parseRefusal(result.body) };
+  const isComplete = !streamed || result.events.at(-1) === '[DONE]';
+  return { ...result, outcome: isComplete ? 'answered' : 'broken' };
 };
 
-const read = async (
+const readResponse = async (
   res: Dispatcher.ResponseData,
-  begun: CallResult,
+  initial: CallResult,
   onEvent?: (data: string) => void,
 ): Promise<CallResult> => {
   const streamed = String(res.headers['content-type'] ?? '').startsWith(SSE_TYPE);
   const events: string[] = [];
   const texts: string[] = [];
-  let failed: SseEvent | undefined;
-  const feed = createSseReader((event) => {
+  let errorEvent: SseEvent | undefined;
+  const pushText = createSseReader((event) => {
     if (event.event === 'error') {
-      failed = event;
+      errorEvent = event;
       return;
     }
     events.push(event.data);
@@ -123,19 +127,19 @@
     for await (const chunk of res.body as AsyncIterable<Uint8Array>) {
       const text = decoder.decode(chunk, { stream: true });
       texts.push(text);
-      if (streamed) feed(text);
+      if (streamed) pushText(text);
     }
     ended = true;
   } catch {
-    // A refused stream is destroyed after its error event; without one it is broken.
+    // The entry destroys a refused stream after its error event. Without that event it is broken.
   }
-  const result = { ...begun, body: texts.join(''), events };
-  return ended || failed ? judge(result, streamed, failed) : result;
+  const result = { ...initial, body: texts.join(''), events };
+  return ended || errorEvent ? classifyResult(result, streamed, errorEvent) : result;
 };
 
-/** Makes a call and says what became of it; it never rejects. */
+/** Makes a call and resolves to its result; the promise never rejects. */
 export const call = async (spec: CallSpec): Promise<CallResult> => {
-  const begun = performance.now();
+  const startedAt = performance.now();
   const result: CallResult = {
     outcome: 'broken',
     status: 0,
@@ -150,16 +154,16 @@
     const res = await request(new URL(spec.path, spec.url), {
       dispatcher: connections,
       method: spec.method ?? (spec.body === undefined ? 'GET' : 'POST'),
-      headers: headersOf(spec),
+      headers: buildHeaders(spec),
       ...(spec.body === undefined ? {} : { body: JSON.stringify(spec.body) }),
       ...(spec.signal ? { signal: spec.signal } : {}),
     });
     result.status = res.statusCode;
     result.headers = res.headers;
-    result.firstByteMs = performance.now() - begun;
-    const done = await read(res, result, spec.onEvent);
-    return { ...done, wholeMs: performance.now() - begun };
+    result.firstByteMs = performance.now() - startedAt;
+    const done = await readResponse(res, result, spec.onEvent);
+    return { ...done, wholeMs: performance.now() - startedAt };
   } catch {
-    return { ...result, wholeMs: performance.now() - begun };
+    return { ...result, wholeMs: performance.now() - startedAt };
   }
 };
--- a/packages/lab/src/harness/child.ts
+++ b/packages/lab/src/harness/child.ts
@@ -2,7 +2,7 @@
 import type { ChildProcess } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
 
-/** Root of the repository; `src` and `dist` lie equally deep below it. */
+/** Root of the repository: the same relative path from `src` and from `dist`. */
 export const repositoryRoot = fileURLToPath(new URL('../../../../', import.meta.url));
 
 /** How a child process ended. */
@@ -19,40 +19,40 @@
   readonly ready: Ready;
   readonly exited: Promise<ChildExit>;
   running(): boolean;
-  /** The last lines that the process wrote on standard error. */
+  /** Most recent output of the process on standard error. */
   log(): string;
   signal(signal: NodeJS.Signals): void;
-  /** Sends SIGTERM, and SIGKILL when the process has not ended after `graceMs`. */
+  /** Sends SIGTERM, then SIGKILL if the process hasn't exited after `graceMs`. */
   stop(graceMs?: number): Promise<ChildExit>;
   kill(): Promise<ChildExit>;
 }
 
-/** A process to start with this Node.js. */
+/** A process to start with the Node.js version that runs this one. */
 export interface ChildSpec {
   name: string;
   /** Script, relative to the root of the repository. */
   script: string;
   args: string[];
-  /** Arguments of the runtime itself. */
+  /** Arguments for Node.js itself. */
   nodeArgs?: string[];
-  /** Variables beside those of this process. */
+  /** Environment variables added to those of this process. */
   env?: Record<string, string>;
-  /** Longest wait for the ready line, in milliseconds. */
-  readyWithinMs?: number;
+  /** Timeout for the ready line. */
+  readyTimeoutMs?: number;
 }
 
-const READY_WITHIN_MS = 20_000;
-const STOP_GRACE_MS = 5_000;
-const KEPT_LOG_CHARACTERS = 16_384;
+const DEFAULT_READY_TIMEOUT_MS = 20_000;
+const DEFAULT_STOP_GRACE_MS = 5_000;
+const MAX_LOG_CHARACTERS = 16_384;
 
 const started = new Set<ChildProcess>();
 
-/** A test run that ends early must leave no process behind: end each one by its own id. */
+/** Kills every child that still runs, so that an aborted test run leaves no process behind. */
 process.on('exit', () => {
   started.forEach((child) => child.kill('SIGKILL'));
 });
 
-const firstLine = (child: ChildProcess, onLine: (line: string) => void): void => {
+const onFirstLine = (child: ChildProcess, onLine: (line: string) => void): void => {
   let text = '';
   const read = (data: Buffer): void => {
     text += data.toString('utf8');
@@ -65,7 +65,7 @@
   child.stdout?.on('data', read);
 };
 
-const exitOf = (child: ChildProcess): Promise<ChildExit> =>
+const waitForExit = (child: ChildProcess): Promise<ChildExit> =>
   new Promise((resolve) => {
     child.once('exit', (code, signal) => {
       started.delete(child);
@@ -73,25 +73,29 @@
     });
   });
 
-const readyLine = (child: ChildProcess, spec: ChildSpec, log: () => string): Promise<string> =>
+const waitForReadyLine = (
+  child: ChildProcess,
+  spec: ChildSpec,
+  log: () => string,
+): Promise<string> =>
   new Promise((resolve, reject) => {
-    const fault = (what: string): void => reject(new Error(`${spec.name} ${what}\n${log()}`));
-    const withinMs = spec.readyWithinMs ?? READY_WITHIN_MS;
+    const fail = (what: string): void => reject(new Error(`${spec.name} ${what}\n${log()}`));
+    const timeoutMs = spec.readyTimeoutMs ?? DEFAULT_READY_TIMEOUT_MS;
     const timer = setTimeout(() => {
       child.kill('SIGKILL');
-      fault(`printed no ready line within ${withinMs} ms`);
-    }, withinMs);
+      fail(`printed no ready line within ${timeoutMs} ms`);
+    }, timeoutMs);
     child.once('exit', (code, signal) => {
       clearTimeout(timer);
-      fault(`ended before it was ready (${code ?? signal})`);
+      fail(`exited before it was ready (${code ?? signal})`);
     });
-    firstLine(child, (line) => {
+    onFirstLine(child, (line) => {
       clearTimeout(timer);
       resolve(line);
     });
   });
 
-/** Starts a process and waits for its ready line, one JSON object on standard output. */
+/** Starts a process and waits for its ready line: one JSON object on standard output. */
 export const startChild = async <Ready>(spec: ChildSpec): Promise<Child<Ready>> => {
   const child = spawn(process.execPath, [...(spec.nodeArgs ?? []), spec.script, ...spec.args], {
     cwd: repositoryRoot,
@@ -99,20 +103,20 @@
     env: { ...process.env, NODE_OPTIONS: '', ...spec.env },
   });
   started.add(child);
-  const exited = exitOf(child);
+  const exited = waitForExit(child);
   let stderr = '';
   child.stderr.on('data', (data: Buffer) => {
-    stderr = (stderr + data.toString('utf8')).slice(-KEPT_LOG_CHARACTERS);
+    stderr = (stderr + data.toString('utf8')).slice(-MAX_LOG_CHARACTERS);
   });
   const log = (): string => stderr;
-  const line = await readyLine(child, spec, log);
+  const line = await waitForReadyLine(child, spec, log);
 
   const running = (): boolean => started.has(child);
   const kill = (): Promise<ChildExit> => {
     if (running()) child.kill('SIGKILL');
     return exited;
   };
-  const stop = async (graceMs = STOP_GRACE_MS): Promise<ChildExit> => {
+  const stop = async (graceMs = DEFAULT_STOP_GRACE_MS): Promise<ChildExit> => {
     if (running()) child.kill('SIGTERM');
     const timer = setTimeout(() => {
       void kill();
--- a/packages/lab/src/harness/forwarder.ts
+++ b/packages/lab/src/harness/forwarder.ts
@@ -1,28 +1,28 @@
 import { connect, createServer } from 'node:net';
 import type { AddressInfo, Socket } from 'node:net';
 
-/** What the forwarder does to the bytes that pass in one direction. */
+/** What the forwarder does with the bytes of one direction. */
 export type ForwardMode = 'pass' | 'hold' | 'drop';
 
-/** Directions of a forwarded connection, seen from the side that connected. */
+/** Direction of a forwarded connection, seen from the side that connected. */
 export type ForwardDirection = 'to-target' | 'from-target';
 
-/** A TCP forwarder that can cut, hold or swallow what passes through it. */
+/** A TCP forwarder that can reset connections and hold or drop their data. */
 export interface Forwarder {
   /** `host:port` to connect to. */
   readonly address: string;
-  /** Resets every connection that is open. */
+  /** Resets every open connection. */
   cut(): void;
-  /** While refused, new connections are reset at once. */
+  /** `true` resets new connections at once until it is called with `false`. */
   refuse(refused: boolean): void;
-  /** `hold` keeps bytes until `pass` is set again; `drop` loses them (a half-open connection). */
+  /** `hold` buffers data until `pass` is set; `drop` discards it, as on a half-open connection. */
   set(direction: ForwardDirection, mode: ForwardMode): void;
-  /** Bytes passed so far in a direction. */
+  /** Bytes forwarded so far in a direction. */
   passed(direction: ForwardDirection): number;
   close(): Promise<void>;
 }
 
-/** Sees the bytes that pass; `connection` counts the connections from 1. */
+/** Called with the data that is forwarded; `connection` numbers the connections from 1. */
 export type ForwardTap = (direction: ForwardDirection, data: Buffer, connection: number) => void;
 
 interface Pipe {
@@ -38,15 +38,15 @@
 };
 
 /**
- * Resets a connection. A socket whose end is under way can't be reset: Node 20 then never closes its
- * handle, and the process spins for ever when it exits.
+ * Resets a connection. A socket on which `end` was called is destroyed instead: after a reset Node 20
+ * never closes its handle, and the process spins forever when it exits.
  */
 const reset = (socket: Socket): void => {
   if (socket.writableEnded) socket.destroy();
   else socket.resetAndDestroy();
 };
 
-/** Creates a forwarder on a free loopback port to `target` (`host:port`). */
+/** Creates a forwarder that listens on a free loopback port and connects to `target` (`host:port`). */
 export const createForwarder = async (
   target: string,
   tap: ForwardTap = () => {},
@@ -82,17 +82,17 @@
     });
   };
 
-  const server = createServer({ noDelay: true }, (near) => {
+  const server = createServer({ noDelay: true }, (callerSocket) => {
     if (refused) {
-      near.resetAndDestroy();
+      callerSocket.resetAndDestroy();
       return;
     }
-    const far = connect({ ...parseAddress(target), noDelay: true });
+    const targetSocket = connect({ ...parseAddress(target), noDelay: true });
     connections += 1;
-    sockets.add(near);
-    sockets.add(far);
-    forward(near, far, 'to-target');
-    forward(far, near, 'from-target');
+    sockets.add(callerSocket);
+    sockets.add(targetSocket);
+    forward(callerSocket, targetSocket, 'to-target');
+    forward(targetSocket, callerSocket, 'from-target');
   });
   await new Promise<void>((resolve) => {
     server.listen(0, '127.0.0.1', resolve);
--- a/packages/lab/src/harness/link-recorder.ts
+++ b/packages/lab/src/harness/link-recorder.ts
@@ -7,7 +7,7 @@
 } from '@plantaindrum/link';
 import type { ForwardDirection, ForwardTap } from './forwarder.js';
 
-/** A frame that passed a link, and which way. */
+/** A frame that was sent on a link, with its direction. */
 export interface RecordedFrame {
   /** The agent at the link's far end. */
   agent: string;
@@ -16,31 +16,31 @@
   frame: Frame | Hello;
 }
 
-/** Decodes what passes a forwarded link. */
+/** Decodes and records the frames of forwarded links. */
 export interface LinkRecorder {
-  /** The tap for the forwarder before an agent. */
+  /** Tap for the forwarder in front of an agent. */
   tap(agent: string): ForwardTap;
-  /** Frames so far, in the order in which they passed. */
+  /** Frames recorded so far, in the order in which they were forwarded. */
   readonly frames: RecordedFrame[];
 }
 
-/** Creates a recorder; a frame that can't be decoded fails the run. */
+/** Creates a recorder; it throws on a frame that can't be decoded. */
 export const createLinkRecorder = (): LinkRecorder => {
   const frames: RecordedFrame[] = [];
-  const streams = new Map<string, ReturnType<typeof createStream>>();
+  const decoders = new Map<string, ReturnType<typeof createDecoder>>();
 
-  function createStream(agent: string, direction: ForwardDirection, connection: number) {
+  function createDecoder(agent: string, direction: ForwardDirection, connection: number) {
     const splitter = createFrameSplitter(defaultLinkLimits.frameBytes);
-    let greeted = false;
+    let helloReceived = false;
     const decode = (payload: Buffer): void => {
-      const frame = greeted ? decodeFrame(payload) : decodeHello(payload);
-      if (!frame.ok) throw new Error(`a recorded link carries a ${frame.err}`);
-      greeted = true;
+      const frame = helloReceived ? decodeFrame(payload) : decodeHello(payload);
+      if (!frame.ok) throw new Error(`cannot decode a recorded frame: ${frame.err}`);
+      helloReceived = true;
       frames.push({ agent, direction, connection, frame: frame.value });
     };
     return (data: Buffer): void => {
       const payloads = splitter.push(data);
-      if (!payloads.ok) throw new Error(`a recorded link carries a ${payloads.err}`);
+      if (!payloads.ok) throw new Error(`cannot split a recorded link: ${payloads.err}`);
       payloads.value.forEach(decode);
     };
   }
@@ -49,9 +49,9 @@
     frames,
     tap: (agent) => (direction, data, connection) => {
       const name = `${agent} ${direction} ${connection}`;
-      const stream = streams.get(name) ?? createStream(agent, direction, connection);
-      streams.set(name, stream);
-      stream(data);
+      const decodeData = decoders.get(name) ?? createDecoder(agent, direction, connection);
+      decoders.set(name, decodeData);
+      decodeData(data);
     },
   };
 };
--- a/packages/lab/src/harness/load.ts
+++ b/packages/lab/src/harness/load.ts
@@ -14,54 +14,55 @@
   result: CallResult;
 }
 
-/** What to send. */
+/** Calls that a load makes. */
 export interface LoadSpec {
   kinds: TrafficKind[];
-  /** Base addresses of the entries, used in turn. */
+  /** Base URLs of the entries, used in turn. */
   urls: () => string[];
   random: Random;
+  /** Identifies this load among those of several runs. */
   run: string;
-  /** How long new calls begin, in milliseconds. */
+  /** Time during which calls are started. */
   durationMs: number;
-  /** Multiplies every kind's rate. */
+  /** Factor for the rate of every kind, 1 by default. */
   scale?: number;
   onDone?: (done: LoadCall) => void;
 }
 
-/** A load under way. */
+/** A running load. */
 export type Load = OpenLoop<LoadCall>;
 
-interface Due {
+interface ScheduledCall {
   kind: TrafficKind;
   atMs: number;
 }
 
-/** Begin times of every call, in order; gaps vary at random around the kind's rate. */
-const schedule = (spec: LoadSpec): Due[] => {
+/** Start times of all calls in ascending order; the gaps of a kind are uniformly random around its mean. */
+const schedule = (spec: LoadSpec): ScheduledCall[] => {
   const scale = spec.scale ?? 1;
   return spec.kinds
     .flatMap((kind) => {
       const gapMs = 1000 / (kind.perSecond * scale);
-      const due: Due[] = [];
+      const scheduled: ScheduledCall[] = [];
       for (let at = spec.random() * gapMs; at < spec.durationMs; at += gapMs * 2 * spec.random()) {
-        due.push({ kind, atMs: at });
+        scheduled.push({ kind, atMs: at });
       }
-      return due;
+      return scheduled;
     })
     .sort((a, b) => a.atMs - b.atMs);
 };
 
-/** Starts an open-loop load. */
+/** Starts an open-loop load: calls start on schedule, whether earlier ones have ended or not. */
 export const startLoad = (spec: LoadSpec): Load => {
   let n = 0;
 
-  const send = async ({ kind }: Due): Promise<LoadCall> => {
+  const send = async ({ kind }: ScheduledCall): Promise<LoadCall> => {
     const organisation = pickOrganisation(kind.organisations, spec.random);
     const urls = spec.urls();
-    const made = kind.make({ n, organisation, random: spec.random, run: spec.run });
+    const request = kind.make({ n, organisation, random: spec.random, run: spec.run });
     const url = urls[n % urls.length] ?? '';
     n += 1;
-    const callSpec = { ...made, class: kind.class, url, key: exampleKey(organisation) };
+    const callSpec = { ...request, class: kind.class, url, key: exampleKey(organisation) };
     const result = await call(callSpec);
     const done = { class: kind.class, organisation, spec: callSpec, result };
     spec.onDone?.(done);
--- a/packages/lab/src/harness/node-processes.ts
+++ b/packages/lab/src/harness/node-processes.ts
@@ -1,5 +1,5 @@
 import type { Child, ChildSpec } from './child.js';
-import { createOperators, OPERATORS_TOKEN } from './operators.js';
+import { createOperatorClient, OPERATORS_TOKEN } from './operators.js';
 import type { SettingsFolder } from './settings-folder.js';
 import type {
   AgentReady,
@@ -12,33 +12,33 @@
 import type { PlatformReady } from './stand-ins.js';
 import type { UpstreamPlan } from './upstream-plans.js';
 
-/** Starts a child and remembers it, so that the site's end ends it. */
+/** Starts a child process that is killed when the site is closed. */
 export type StartChild = <Ready>(spec: ChildSpec) => Promise<Child<Ready>>;
 
-/** Starts entries and agents of one site. */
+/** Starts the entries and agents of one site. */
 export interface NodeProcesses {
   startEntry(entry: EntrySpec): Promise<SiteEntry>;
   startAgent(plan: UpstreamPlan): Promise<SiteUpstream>;
-  /** Starts the agent of an upstream as a new process on new ports. */
+  /** Starts the agent of an upstream again, as a new process on new ports. */
   restartAgent(upstream: SiteUpstream): Promise<void>;
 }
 
 const ENTRY_SCRIPT = 'packages/plantaindrum/bin/plantaindrum.js';
 const AGENT_SCRIPT = 'packages/agent/bin/plantaindrum-agent.js';
 const ANY_PORT = { host: '127.0.0.1', port: 0 };
-const OPERATORS_DOOR = { ...ANY_PORT, token: OPERATORS_TOKEN };
+const OPERATOR_SERVER = { ...ANY_PORT, token: OPERATORS_TOKEN };
 
-/** Creates the starter of a site's entries and agents. */
+/** Creates the `NodeProcesses` of a site. */
 export const createNodeProcesses = (
   spec: SiteSpec,
   platform: PlatformReady,
   folder: SettingsFolder,
   start: StartChild,
 ): NodeProcesses => {
-  const settingsOf = (name: string, dataCentre: string) => ({
+  const buildSettings = (name: string, dataCentre: string) => ({
     node: { name, dataCentre, region: spec.region },
     link: ANY_PORT,
-    operators: OPERATORS_DOOR,
+    operators: OPERATOR_SERVER,
     platform: {
       logUrl: platform.log,
       vmListUrl: platform.vms,
@@ -46,31 +46,31 @@
     },
   });
 
-  const startProcess = async (upstream: Pick<SiteUpstream, 'name' | 'settings'>) => {
+  const startAgentProcess = async (upstream: Pick<SiteUpstream, 'name' | 'settings'>) => {
     const { name, settings } = upstream;
     const args = ['--settings', folder.write(name, settings)];
     const agent = await start<AgentReady>({ name, script: AGENT_SCRIPT, args });
     const { link, operators } = agent.ready;
     const listed = spec.listedLink ? await spec.listedLink(name, link) : link;
-    return { agent, listed, operators: createOperators(operators) };
+    return { agent, listed, operators: createOperatorClient(operators) };
   };
 
   return {
     startAgent: async (plan) => {
       const settings = {
-        ...settingsOf(plan.name, plan.dataCentre),
+        ...buildSettings(plan.name, plan.dataCentre),
         upstream: plan.upstream,
         limits: spec.agentLimits ?? {},
       };
-      const started = await startProcess({ name: plan.name, settings });
+      const started = await startAgentProcess({ name: plan.name, settings });
       return { ...plan, settings, state: 'live', ...started };
     },
     restartAgent: async (upstream) => {
-      Object.assign(upstream, await startProcess(upstream));
+      Object.assign(upstream, await startAgentProcess(upstream));
     },
     startEntry: async (entry) => {
       const settings = {
-        ...settingsOf(entry.name, entry.dataCentre),
+        ...buildSettings(entry.name, entry.dataCentre),
         callers: ANY_PORT,
         limits: spec.entryLimits ?? {},
       };
@@ -81,7 +81,7 @@
         ...entry,
         process: child,
         url: callers,
-        operators: createOperators(operators),
+        operators: createOperatorClient(operators),
       };
     },
   };
--- a/packages/lab/src/harness/operators.ts
+++ b/packages/lab/src/harness/operators.ts
@@ -11,10 +11,10 @@
 import { parseSettings } from '@plantaindrum/common';
 import { request } from 'undici';
 
-/** Token of every operators' door that the lab starts. */
+/** Token of every operator server that the lab starts. */
 export const OPERATORS_TOKEN = 'lab-operators-token';
 
-/** What the lab reads of an entry's status. */
+/** The fields of an entry's status that the lab reads. */
 export interface EntryStatusView {
   ready: boolean;
   inFlight: number;
@@ -28,12 +28,12 @@
   }[];
 }
 
-/** A client of one operators' door. */
-export interface Operators {
+/** A client of one operator server. */
+export interface OperatorClient {
   ready(): Promise<boolean>;
   status(): Promise<EntryStatusView>;
   metrics(): Promise<string>;
-  /** The value of one counter in the metrics, summed over the series that match `labels`. */
+  /** Value of a counter in the metrics, summed over the series that match `labels`. */
   counter(name: string, labels?: Record<string, string>): Promise<number>;
   intent(): Promise<IntentView>;
   change(changes: IntentChange[], author?: string): Promise<SubmitOutcome>;
@@ -41,19 +41,19 @@
 
 const headers = { authorization: `Bearer ${OPERATORS_TOKEN}`, 'content-type': 'application/json' };
 
-const matches = (line: string, name: string, labels: Record<string, string>): boolean =>
+const matchesSeries = (line: string, name: string, labels: Record<string, string>): boolean =>
   (line.startsWith(`${name}{`) || line.startsWith(`${name} `)) &&
   Object.entries(labels).every(([key, value]) => line.includes(`${key}="${value}"`));
 
-/** Sums the series of a Prometheus exposition that match. */
+/** Sums the series of a metric in a Prometheus exposition that match `labels`. */
 export const sumSeries = (text: string, name: string, labels: Record<string, string> = {}) =>
   text
     .split('\n')
-    .filter((line) => matches(line, name, labels))
+    .filter((line) => matchesSeries(line, name, labels))
     .reduce((sum, line) => sum + Number(line.slice(line.lastIndexOf(' ') + 1)), 0);
 
-/** Creates a client of the operators' door at `url`. */
-export const createOperators = (url: string): Operators => {
+/** Creates a client of the operator server at `url`. */
+export const createOperatorClient = (url: string): OperatorClient => {
   const get = async (path: string): Promise<string> => {
     const res = await request(`${url}${path}`, { headers });
     return res.body.text();
@@ -85,14 +85,14 @@
   };
 };
 
-/** Reads an operators' intent file (JSON with comments); a faulty one throws. */
+/** Reads an intent file (JSON with comments); throws if it is invalid. */
 export const readIntentFile = (file: string): IntentDocument => {
   const parsed = parseSettings(readFileSync(file, 'utf8'), intentDocumentSchema);
   if (!parsed.ok) throw new Error(`${file}: ${JSON.stringify(parsed.err)}`);
   return parsed.value;
 };
 
-/** The changes that declare a whole document on an empty log. */
+/** Changes that declare a full document on an empty log. */
 export const changesOf = (document: IntentDocument): IntentChange[] =>
   Object.entries(document).flatMap(([section, values]) =>
     Object.entries(values).map(([name, value]) => ({
--- a/packages/lab/src/harness/settings-folder.ts
+++ b/packages/lab/src/harness/settings-folder.ts
@@ -9,7 +9,7 @@
   remove(): void;
 }
 
-/** Creates a settings folder below the system's temporary folder. */
+/** Creates a settings folder in the system's temporary folder. */
 export const createSettingsFolder = (): SettingsFolder => {
   const folder = mkdtempSync(join(tmpdir(), 'plantaindrum-lab-'));
   return {
--- a/packages/lab/src/harness/site-types.ts
+++ b/packages/lab/src/harness/site-types.ts
@@ -1,9 +1,9 @@
 import type { IntentDocument } from '@plantaindrum/intent';
 import type { Child } from './child.js';
-import type { Operators } from './operators.js';
+import type { OperatorClient } from './operators.js';
 import type { EnginesReady, Flags, PlatformReady, ServiceReady } from './stand-ins.js';
 
-/** An expert group: its engines run in one stand-in process, each with an agent beside it. */
+/** An expert group: one stand-in process runs its engines, and each engine has an agent. */
 export interface GroupSpec {
   name: string;
   model: string;
@@ -13,7 +13,7 @@
   flags?: Flags;
 }
 
-/** A plain service on some VMs, each a process with an agent beside it. */
+/** A plain service: each replica is a process with an agent. */
 export interface ServiceSpec {
   name: string;
   dataCentre: string;
@@ -27,7 +27,7 @@
   dataCentre: string;
 }
 
-/** What a site consists of. */
+/** The parts of a site and their settings. */
 export interface SiteSpec {
   region: string;
   groups: GroupSpec[];
@@ -38,7 +38,7 @@
   /** Limits in the settings of every agent. */
   agentLimits?: Record<string, number>;
   entryLimits?: Record<string, number>;
-  /** Address under which the list names an agent; a forwarder may stand in between. */
+  /** Returns the link address of an agent for the VM list, such as that of a forwarder in front of it. */
   listedLink?: (upstream: string, link: string) => Promise<string>;
 }
 
@@ -58,29 +58,30 @@
 /** A running entry. */
 export interface SiteEntry extends EntrySpec {
   process: Child<EntryReady>;
-  operators: Operators;
-  /** Base address of the callers' door. */
+  operators: OperatorClient;
+  /** Base URL of the caller server. */
   url: string;
 }
 
-/** An upstream with the agent beside it. */
+/** An upstream with its agent. */
 export interface SiteUpstream {
   name: string;
   dataCentre: string;
   kind: 'model' | 'service';
-  /** Address of the engine or service itself. */
+  /** URL of the engine or service itself. */
   url: string;
-  /** Control address of its stand-in. */
+  /** Control URL of its stand-in. */
   control: string;
   labels: Record<string, string>;
   settings: Record<string, unknown>;
   state: 'live' | 'leaving';
+  /** Link address of the agent in the VM list. */
   listed: string;
   agent: Child<AgentReady>;
-  operators: Operators;
+  operators: OperatorClient;
 }
 
-/** A running site; `close` ends every process that it started. */
+/** A running site; `close` kills every process that it started. */
 export interface Site {
   readonly platform: Child<PlatformReady>;
   readonly entries: SiteEntry[];
@@ -92,7 +93,7 @@
   startEntry(spec: EntrySpec): Promise<SiteEntry>;
   /** Starts the agent of an upstream again, as a new process on a new port. */
   restartAgent(name: string): Promise<SiteUpstream>;
-  /** Puts the VM list as the site stands now. */
+  /** Sets the VM list to the current upstreams and entries. */
   publish(): Promise<void>;
   close(): Promise<void>;
 }
--- a/packages/lab/src/harness/site.ts
+++ b/packages/lab/src/harness/site.ts
@@ -17,11 +17,11 @@
 import type { EnginesReady, PlatformReady, ServiceReady } from './stand-ins.js';
 import { enginesSpec, platformSpec, putVms, serviceSpec } from './stand-ins.js';
 import { until } from './until.js';
-import { groupPlans, servicePlans, vmOfEntry, vmOfUpstream } from './upstream-plans.js';
+import { groupPlans, servicePlans, toEntryVm, toUpstreamVm } from './upstream-plans.js';
 
-const READY_WITHIN_MS = 15_000;
-/** Lag of the VM list where a site asks for none. */
-const LIST_LAG_MS = 100;
+const READY_TIMEOUT_MS = 15_000;
+/** Lag of the VM list unless the site sets another. */
+const VM_LIST_LAG_MS = 100;
 
 const startGroup = async (start: StartChild, spec: GroupSpec, weightsUrl: string) => {
   const flags = {
@@ -41,12 +41,12 @@
   return { spec, processes: await Promise.all(starting) };
 };
 
-const found = <T>(what: string, value: T | undefined): T => {
+const requireFound = <T>(what: string, value: T | undefined): T => {
   if (value === undefined) throw new Error(`this site has no ${what}`);
   return value;
 };
 
-const startParts = async (
+const startUpstreams = async (
   spec: SiteSpec,
   start: StartChild,
   processes: NodeProcesses,
@@ -76,10 +76,10 @@
   folder: SettingsFolder,
 ): Promise<Site> => {
   const platform = await start<PlatformReady>(
-    platformSpec({ 'lag-ms': LIST_LAG_MS, ...spec.platformFlags }),
+    platformSpec({ 'lag-ms': VM_LIST_LAG_MS, ...spec.platformFlags }),
   );
   const processes = createNodeProcesses(spec, platform.ready, folder, start);
-  const { groups, services, upstreams } = await startParts(
+  const { groups, services, upstreams } = await startUpstreams(
     spec,
     start,
     processes,
@@ -88,14 +88,14 @@
   const entries: SiteEntry[] = [];
 
   const upstream = (name: string): SiteUpstream =>
-    found(
+    requireFound(
       `upstream ${name}`,
       upstreams.find((candidate) => candidate.name === name),
     );
   const publish = (): Promise<void> =>
     putVms(platform.ready.vms, [
-      ...upstreams.map((candidate) => vmOfUpstream(candidate, spec.region)),
-      ...entries.map((entry) => vmOfEntry(entry, spec.region)),
+      ...upstreams.map((candidate) => toUpstreamVm(candidate, spec.region)),
+      ...entries.map((entry) => toEntryVm(entry, spec.region)),
     ]);
   const startEntry = async (entry: SiteSpec['entries'][number]): Promise<SiteEntry> => {
     const running = await processes.startEntry(entry);
@@ -113,7 +113,7 @@
     groups,
     services,
     upstream,
-    entry: (index) => found(`entry ${index}`, entries[index]),
+    entry: (index) => requireFound(`entry ${index}`, entries[index]),
     startEntry,
     restartAgent: async (name) => {
       await processes.restartAgent(upstream(name));
@@ -124,7 +124,7 @@
   };
 };
 
-/** True when an entry takes calls and is linked to every upstream of the site. */
+/** Whether an entry is ready and linked to every upstream of the site. */
 export const entryServes = async (site: Site, entry: SiteEntry): Promise<boolean> => {
   if (!(await entry.operators.ready())) return false;
   const { upstreams } = await entry.operators.status();
@@ -132,17 +132,17 @@
   return site.upstreams.every((upstream) => linked.has(upstream.name));
 };
 
-/** Declares the intent at one entry and waits until every entry serves with it. */
-const declare = async (site: Site, intent: IntentDocument): Promise<void> => {
-  const answer = await site.entry(0).operators.change(changesOf(intent));
-  if (answer.outcome !== 'accepted') throw new Error(`intent: ${JSON.stringify(answer)}`);
+/** Declares the intent at one entry and waits until every entry serves. */
+const declareIntent = async (site: Site, intent: IntentDocument): Promise<void> => {
+  const result = await site.entry(0).operators.change(changesOf(intent));
+  if (result.outcome !== 'accepted') throw new Error(`intent refused: ${JSON.stringify(result)}`);
   const serving = site.entries.map((entry) =>
-    until(`${entry.name} serves`, () => entryServes(site, entry), READY_WITHIN_MS),
+    until(`${entry.name} serves`, () => entryServes(site, entry), READY_TIMEOUT_MS),
   );
   await Promise.all(serving);
 };
 
-/** Starts a site: stand-ins, agents, the VM list, entries, the operators' intent. */
+/** Starts a site: stand-ins, agents, VM list and entries, then declares the intent. */
 export const startSite = async (spec: SiteSpec): Promise<Site> => {
   const folder = createSettingsFolder();
   const children: Child<unknown>[] = [];
@@ -157,7 +157,7 @@
   };
   try {
     const site = await buildSite(spec, start, close, folder);
-    await declare(site, spec.intent);
+    await declareIntent(site, spec.intent);
     return site;
   } catch (err) {
     await close();
--- a/packages/lab/src/harness/small-site.ts
+++ b/packages/lab/src/harness/small-site.ts
@@ -6,18 +6,18 @@
 /** The two example deployments. */
 export type Deployment = 'cascade-lotline' | 'magyar-vizualis';
 
-/** The operators' intent of an example deployment. */
+/** Reads the intent of an example deployment. */
 export const exampleIntent = (deployment: Deployment): IntentDocument =>
   readIntentFile(`${repositoryRoot}examples/${deployment}/intent.jsonc`);
 
-interface DeploymentParts {
+interface DeploymentLayout {
   region: string;
   dataCentre: string;
   model: string;
   services: string[];
 }
 
-const parts: Record<Deployment, DeploymentParts> = {
+const layouts: Record<Deployment, DeploymentLayout> = {
   'cascade-lotline': {
     region: 'northwest',
     dataCentre: 'kent',
@@ -32,17 +32,17 @@
   },
 };
 
-/** How large a small site is. */
+/** Size of a small site; each count is 1 by default. */
 export interface SmallSiteOptions {
   entries?: number;
   engines?: number;
   replicas?: number;
 }
 
-/** One data centre of an example deployment: an expert group, its plain services, entries. */
+/** One data centre of an example deployment: an expert group, plain services and entries. */
 export const smallSite = (deployment: Deployment, options: SmallSiteOptions = {}): SiteSpec => {
   const { entries = 1, engines = 1, replicas = 1 } = options;
-  const { region, dataCentre, model, services } = parts[deployment];
+  const { region, dataCentre, model, services } = layouts[deployment];
   return {
     region,
     intent: exampleIntent(deployment),
--- a/packages/lab/src/harness/stand-ins.ts
+++ b/packages/lab/src/harness/stand-ins.ts
@@ -4,7 +4,7 @@
 /** Ready line of the platform stand-in. */
 export interface PlatformReady {
   log: string;
-  /** Whole address of the VM list. */
+  /** URL of the VM list, with its path. */
   vms: string;
   weights: string;
 }
@@ -27,18 +27,18 @@
   labels: Record<string, string>;
 }
 
-/** Flags of a stand-in's command line. */
+/** Command line flags of a stand-in. */
 export type Flags = Record<string, string | number | boolean>;
 
 const SCRIPT = 'packages/stand-ins/dist/main.js';
 
-const flagsOf = (flags: Flags): string[] =>
+const toArguments = (flags: Flags): string[] =>
   Object.entries(flags).map(([name, value]) => `--${name}=${String(value)}`);
 
 const standInSpec = (kind: string, name: string, flags: Flags): ChildSpec => ({
   name,
   script: SCRIPT,
-  args: [kind, ...flagsOf(flags)],
+  args: [kind, ...toArguments(flags)],
 });
 
 /** The log, VM list and weight store in one process. */
@@ -63,20 +63,20 @@
   if (res.statusCode >= 300) throw new Error(`${method} ${url}: ${res.statusCode} ${text}`);
 };
 
-/** Sets the true VM list; readers see it after the list's lag. */
+/** Sets the VM list; readers see the change after the list's lag. */
 export const putVms = (url: string, vms: VmTargets[]): Promise<void> => send('PUT', url, vms);
 
-/** Switches faults of a stand-in. */
+/** Turns faults of a stand-in on or off. */
 export const setFaults = (url: string, faults: Record<string, unknown>): Promise<void> =>
   send('POST', `${url}/faults`, faults);
 
-/** Reads a JSON document of a stand-in's control address. */
+/** Fetches a JSON document from a stand-in's control URL. */
 export const getJson = async <T>(url: string): Promise<T> => {
   const res = await request(url);
   return (await res.body.json()) as T;
 };
 
-/** What a plain service counted. */
+/** Requests that a plain service counted. */
 export interface ServiceCounts {
   total: number;
   inFlight: number;
@@ -84,7 +84,7 @@
   byPath: Record<string, number>;
 }
 
-/** What one engine counted. */
+/** State and counts of one engine. */
 export interface EngineView {
   url: string;
   running: number;
@@ -92,12 +92,12 @@
   started: number;
   finished: number;
   cancelled: number;
-  /** Orders that a fault holds back. */
+  /** Orders that a fault delays. */
   heldOrders: number;
   tokens: number;
 }
 
-/** What the oracle of an expert group saw. */
+/** Steps that the oracle of an expert group observed. */
 export interface GroupOracle {
   steps: number;
   mixedSteps: number;
@@ -105,15 +105,15 @@
   stepsByVersion: Record<string, number>;
 }
 
-/** A plain service's counts, from its control address. */
+/** Fetches a plain service's counts from its control URL. */
 export const serviceCounts = (control: string) => getJson<ServiceCounts>(`${control}/counts`);
 
-/** The state of a group's engines, from its control address. */
+/** Fetches the state of a group's engines from its control URL. */
 export const engineViews = (control: string) => getJson<EngineView[]>(`${control}/state`);
 
-/** Generations started over a group's engines, by completion id, from its control address. */
+/** Fetches the number of generations started in a group's engines, by completion id. */
 export const generationStarts = (control: string) =>
   getJson<Record<string, number>>(`${control}/starts`);
 
-/** What a group's oracle saw, from its control address. */
+/** Fetches the observations of a group's oracle from its control URL. */
 export const groupOracle = (control: string) => getJson<GroupOracle>(`${control}/oracle`);
--- a/packages/lab/src/harness/statistics.ts
+++ b/packages/lab/src/harness/statistics.ts
@@ -1,11 +1,11 @@
-/** The value below which `share` of the values lie; 0 for none. */
-export const percentile = (values: number[], share: number): number => {
+/** Value below which the `fraction` (0 to 1) of the values lie; 0 when there are no values. */
+export const percentile = (values: number[], fraction: number): number => {
   const sorted = [...values].sort((a, b) => a - b);
-  return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? 0;
+  return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * fraction))] ?? 0;
 };
 
-/** The middle value. */
+/** Median of the values. */
 export const median = (values: number[]): number => percentile(values, 0.5);
 
-/** Rounds for a report. */
+/** Rounds to a number of decimals for a report. */
 export const round = (value: number, digits = 2): number => Number(value.toFixed(digits));
--- a/packages/lab/src/harness/traffic.ts
+++ b/packages/lab/src/harness/traffic.ts
@@ -3,22 +3,22 @@
 
 /** One kind of call in a load. */
 export interface TrafficKind {
-  /** The class that the call falls in. */
+  /** Class of the call. */
   class: string;
-  /** Organisations that make it; the first sends the most. */
+  /** Organisations that make the call, by descending frequency. */
   organisations: string[];
   perSecond: number;
-  /** Builds the n-th call. */
+  /** Builds one call. */
   make(context: TrafficContext): Omit<CallSpec, 'url' | 'key'>;
 }
 
-/** What a kind's builder may use. */
+/** Input of `TrafficKind.make`. */
 export interface TrafficContext {
-  /** Counts the calls of one load, from 0. */
+  /** Number of the call within its load, from 0. */
   n: number;
   organisation: string;
   random: Random;
-  /** Tells the loads of several runs apart. */
+  /** Identifies the load among those of several runs. */
   run: string;
 }
 
@@ -32,7 +32,7 @@
   stream: boolean;
 }
 
-/** A completion call at the callers' door. */
+/** Builds a completion call. */
 export const completion = (options: CompletionOptions): Omit<CallSpec, 'url' | 'key'> => ({
   path: '/v1/completions',
   body: {
@@ -43,7 +43,7 @@
   },
 });
 
-/** The larger organisations come first in the list and are picked more often. */
+/** Picks an organisation at random; those earlier in the list are picked more often. */
 export const pickOrganisation = (organisations: string[], random: Random): string => {
   const index = Math.floor(random() ** 2 * organisations.length);
   return organisations[index] ?? organisations[0] ?? '';
--- a/packages/lab/src/harness/until.ts
+++ b/packages/lab/src/harness/until.ts
@@ -2,17 +2,17 @@
 
 const POLL_MS = 10;
 
-/** Waits until `probe` gives a value; fails with `what` after `withinMs` milliseconds. */
+/** Polls `probe` until it returns a value; throws with `condition` after `timeoutMs`. */
 export const until = async <T>(
-  what: string,
+  condition: string,
   probe: () => Promise<T | undefined | false> | T | undefined | false,
-  withinMs = 10_000,
+  timeoutMs = 10_000,
 ): Promise<T> => {
-  const limit = performance.now() + withinMs;
+  const endAt = performance.now() + timeoutMs;
   for (;;) {
     const found = await probe();
     if (found !== undefined && found !== false) return found;
-    if (performance.now() > limit) throw new Error(`not within ${withinMs} ms: ${what}`);
+    if (performance.now() > endAt) throw new Error(`timed out after ${timeoutMs} ms: ${condition}`);
     await delay(POLL_MS);
   }
 };
--- a/packages/lab/src/harness/upstream-plans.ts
+++ b/packages/lab/src/harness/upstream-plans.ts
@@ -1,14 +1,14 @@
 import type { GroupSpec, ServiceSpec, SiteEntry, SiteUpstream } from './site-types.js';
 import type { EnginesReady, ServiceReady, VmTargets } from './stand-ins.js';
 
-/** An upstream whose stand-in runs and whose agent is still to be started. */
+/** An upstream whose stand-in is running and whose agent hasn't been started yet. */
 export interface UpstreamPlan {
   name: string;
   dataCentre: string;
   kind: 'model' | 'service';
   url: string;
   control: string;
-  /** Labels in the VM list that tell what the upstream serves. */
+  /** Labels in the VM list that say what the upstream serves. */
   labels: Record<string, string>;
   /** The agent's `upstream` settings. */
   upstream: Record<string, unknown>;
@@ -17,29 +17,29 @@
 const rankNumbers = (engine: number, count: number): number[] =>
   Array.from({ length: count }, (_, index) => engine * count + index);
 
-/** The stand-in's own defaults. */
-const LAYERS = 2;
-const EXPERTS = 64;
-/** Room for replicas beyond one of each expert, in each layer of a rank. */
+/** Defaults of the engine stand-in. */
+const DEFAULT_LAYERS = 2;
+const DEFAULT_EXPERTS = 64;
+/** Slots for additional replicas of experts, in each layer of a rank. */
 const SPARE_SLOTS = 4;
 const EXPERT_BYTES = 65_536;
-/** A site of the lab lives for seconds, so its groups are looked at more often than real ones. */
-const PLAN_MS = 2_000;
+/** Shorter than in production, because a site of the lab only runs for seconds. */
+const PLAN_INTERVAL_MS = 2_000;
 
-const layoutOf = ({ engines, ranksPerEngine, flags = {} }: GroupSpec) => {
+const buildLayout = ({ engines, ranksPerEngine, flags = {} }: GroupSpec) => {
   const rankCount = engines * ranksPerEngine;
-  const experts = Number(flags.experts ?? EXPERTS);
+  const experts = Number(flags.experts ?? DEFAULT_EXPERTS);
   return {
     rankCount,
-    layers: Number(flags.layers ?? LAYERS),
+    layers: Number(flags.layers ?? DEFAULT_LAYERS),
     experts,
     slots: Math.ceil(experts / rankCount) + SPARE_SLOTS,
     bytesPerExpert: EXPERT_BYTES,
-    planMs: PLAN_MS,
+    planMs: PLAN_INTERVAL_MS,
   };
 };
 
-/** The upstreams of an expert group, one for each engine. */
+/** Plans the upstreams of an expert group, one for each engine. */
 export const groupPlans = (spec: GroupSpec, ready: EnginesReady): UpstreamPlan[] =>
   ready.engines.map((url, index) => {
     const ranks = rankNumbers(index, spec.ranksPerEngine);
@@ -50,11 +50,11 @@
       url,
       control: ready.control,
       labels: { kind: 'model', model: spec.model, group: spec.name, ranks: ranks.join(',') },
-      upstream: { kind: 'model', url, group: spec.name, ranks, layout: layoutOf(spec) },
+      upstream: { kind: 'model', url, group: spec.name, ranks, layout: buildLayout(spec) },
     };
   });
 
-/** The upstreams of a plain service, one for each replica. */
+/** Plans the upstreams of a plain service, one for each replica. */
 export const servicePlans = (spec: ServiceSpec, replicas: ServiceReady[]): UpstreamPlan[] =>
   replicas.map((ready, index) => ({
     name: `${spec.name}-${index + 1}`,
@@ -66,8 +66,8 @@
     upstream: { kind: 'service', url: ready.url },
   }));
 
-/** An upstream's line in the VM list. */
-export const vmOfUpstream = (upstream: SiteUpstream, region: string): VmTargets => ({
+/** Returns an upstream's target group in the VM list. */
+export const toUpstreamVm = (upstream: SiteUpstream, region: string): VmTargets => ({
   targets: [upstream.listed],
   labels: {
     vm: upstream.name,
@@ -79,8 +79,8 @@
   },
 });
 
-/** An entry's line in the VM list. */
-export const vmOfEntry = (entry: SiteEntry, region: string): VmTargets => ({
+/** Returns an entry's target group in the VM list. */
+export const toEntryVm = (entry: SiteEntry, region: string): VmTargets => ({
   targets: [entry.process.ready.link],
   labels: {
     vm: entry.name,
--- a/packages/lab/src/harness/used-time.ts
+++ b/packages/lab/src/harness/used-time.ts
@@ -1,16 +1,16 @@
-/** Processor time of processes, as the kernel counts it. */
+/** CPU time of processes, from `/proc`. */
 
 import { readFile } from 'node:fs/promises';
 
-/** A tick of the kernel's count of processor time, in ms. */
+/** Clock tick in which the kernel counts CPU time. */
 const TICK_MS = 10;
-/** Fields of a process's state after its name, which may hold blanks: user and kernel time. */
-const USER_TIME = 11;
-const KERNEL_TIME = 12;
+/** Indexes of user and kernel time among the fields after the process name, which may contain blanks. */
+const USER_TIME_FIELD = 11;
+const KERNEL_TIME_FIELD = 12;
 
-/** User and kernel time that a process has used, in ms; in steps of 10. */
+/** User and kernel time that a process has used, in ms, with a resolution of 10 ms. */
 export const usedMs = async (pid: number): Promise<number> => {
   const stat = await readFile(`/proc/${pid}/stat`, 'utf8');
   const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
-  return (Number(fields[USER_TIME]) + Number(fields[KERNEL_TIME])) * TICK_MS;
+  return (Number(fields[USER_TIME_FIELD]) + Number(fields[KERNEL_TIME_FIELD])) * TICK_MS;
 };
--- a/packages/lab/src/harness/workloads.ts
+++ b/packages/lab/src/harness/workloads.ts
@@ -20,15 +20,15 @@
   'mozaik-muhely',
 ];
 
-/** Prompts of one organisation begin alike, as its instructions do. */
-const promptOf = (task: string, { organisation, n }: TrafficContext): string =>
+/** Prompts of one organisation share a prefix, as real ones share the organisation's instructions. */
+const buildPrompt = (task: string, { organisation, n }: TrafficContext): string =>
   [...Array<string>(8).fill(`${organisation} instructions for ${task}.`), `Item ${n}.`].join(' ');
 
-const generation =
+const generationCall =
   (model: string, task: string, maxTokens: number, stream: boolean) => (context: TrafficContext) =>
-    completion({ model, prompt: promptOf(task, context), maxTokens, stream });
+    completion({ model, prompt: buildPrompt(task, context), maxTokens, stream });
 
-/** A call to a plain service; its path names it, so that the service's counts tell its runs. */
+/** A call to a plain service; its path is unique, so that the service's counts show how often it ran. */
 const serviceCall = (prefix: string, keyed: boolean) => (context: TrafficContext) => {
   const name = `${context.run}-${context.n}`;
   return {
@@ -38,25 +38,25 @@
   };
 };
 
-/** Live sales: summaries, replies, drafts, exports and title checks; calls a second at scale 1. */
+/** Traffic of live sales: summaries, replies, drafts, exports and title checks. */
 export const liveSaleTraffic: TrafficKind[] = [
   {
     class: 'live-summary',
     organisations: DEALERS,
     perSecond: 8,
-    make: generation('lot-writer', 'condition summaries', 24, true),
+    make: generationCall('lot-writer', 'condition summaries', 24, true),
   },
   {
     class: 'live-reply',
     organisations: DEALERS,
     perSecond: 6,
-    make: generation('lot-writer', 'bidder replies', 12, false),
+    make: generationCall('lot-writer', 'bidder replies', 12, false),
   },
   {
     class: 'lot-draft',
     organisations: ['orchard-cars', 'yakima-trade-ins'],
     perSecond: 2,
-    make: generation('lot-writer', 'lot descriptions', 48, true),
+    make: generationCall('lot-writer', 'lot descriptions', 48, true),
   },
   {
     class: 'bid-sheet-export',
@@ -72,25 +72,25 @@
   },
 ];
 
-/** Release reviews: verdicts, triage, notes, status pings and approval hooks. */
+/** Traffic of release reviews: verdicts, triage, notes, status pings and approval hooks. */
 export const releaseTraffic: TrafficKind[] = [
   {
     class: 'diff-verdict',
     organisations: STUDIOS,
     perSecond: 8,
-    make: generation('visual-reviewer', 'diff verdicts', 24, true),
+    make: generationCall('visual-reviewer', 'diff verdicts', 24, true),
   },
   {
     class: 'triage-summary',
     organisations: ['kalapacs-kod', 'duna-digital'],
     perSecond: 3,
-    make: generation('visual-reviewer', 'triage summaries', 32, false),
+    make: generationCall('visual-reviewer', 'triage summaries', 32, false),
   },
   {
     class: 'baseline-note',
     organisations: ['zold-ablak', 'balaton-web'],
     perSecond: 1,
-    make: generation('visual-reviewer', 'baseline notes', 48, true),
+    make: generationCall('visual-reviewer', 'baseline notes', 48, true),
   },
   {
     class: 'status-ping',
