--- a/packages/lab/test/failures/idempotency.test.ts
+++ b/packages/lab/test/failures/idempotency.test.ts
@@ -4,7 +4,7 @@
 import { smallSite } from '../../src/harness/small-site.js';
 import { serviceCounts, setFaults } from '../../src/harness/stand-ins.js';
 import { until } from '../../src/harness/until.js';
-import { approval, runsOf, upstreamInside, useSite } from '../support/site.js';
+import { approvalCall, countRuns, waitForBusyUpstream, useSite } from '../support/site.js';
 
 describe('calls with an idempotency key', () => {
   const site = useSite(() => smallSite('magyar-vizualis', { entries: 2, replicas: 2 }));
@@ -17,12 +17,14 @@
     await setLog({ outage: 'none', loseAnswers: 0, silentClients: [] });
   });
 
-  // A pipeline sends the same approval through both entries at once. Both agents claim the key in
-  // the log; the log's order decides which claim was first, and only that agent runs the call.
+  // The same approval is sent through both entries at once. Both agents claim the key in the log;
+  // the log's order decides which claim is first, and only that agent may run the call.
   it('the same key through two entries at once runs once', async () => {
     const urls = site().entries.map((entry) => entry.url);
-    const results = await Promise.all(urls.map((url) => call(approval(url, 'both', 'key-both'))));
-    expect(await runsOf(site(), '/approvals/both')).to.equal(1);
+    const results = await Promise.all(
+      urls.map((url) => call(approvalCall(url, 'both', 'key-both'))),
+    );
+    expect(await countRuns(site(), '/approvals/both')).to.equal(1);
     const outcomes = results.map((result) => result.outcome);
     expect(outcomes).to.include('answered');
     expect(outcomes).not.to.include('broken');
@@ -33,55 +35,58 @@
 
   it('the same key with another body is refused and does not run', async () => {
     const { url } = site().entry(0);
-    await call(approval(url, 'one-body', 'key-body'));
-    const other = await call({ ...approval(url, 'one-body', 'key-body'), body: { other: true } });
+    await call(approvalCall(url, 'one-body', 'key-body'));
+    const other = await call({
+      ...approvalCall(url, 'one-body', 'key-body'),
+      body: { other: true },
+    });
     expect(other.status).to.equal(422);
-    expect(await runsOf(site(), '/approvals/one-body')).to.equal(1);
+    expect(await countRuns(site(), '/approvals/one-body')).to.equal(1);
   });
 
-  // The claim reaches the log but the log's answer is lost, so the agent can't tell whether it
-  // stands. It reads the log until it sees its own record, and only then runs the call, once.
+  // The claim reaches the log but the log's response is lost, so the agent doesn't know whether it was
+  // stored. It must read the log until it finds its own record before it runs the call.
   it('a claim whose answer was lost is found by reading, and the call runs once', async () => {
     await setLog({ loseAnswers: 1 });
-    const result = await call(approval(site().entry(0).url, 'lost', 'key-lost'));
+    const result = await call(approvalCall(site().entry(0).url, 'lost', 'key-lost'));
     expect(result.outcome).to.equal('answered');
-    expect(await runsOf(site(), '/approvals/lost')).to.equal(1);
+    expect(await countRuns(site(), '/approvals/lost')).to.equal(1);
   });
 
-  // An agent is frozen while its claimed call is inside the service. The entry hears no heartbeat
-  // and tells the caller "unknown" instead of waiting. The pipeline asks again through the other
-  // entry and another agent, whose claim comes second in the log: refused. The agent wakes: still
-  // one run.
-  it('an agent frozen with a claimed call and woken: asked again, the call still runs once', async () => {
+  // An agent is suspended while its service runs a claimed call. The entry misses its heartbeats and
+  // answers "unknown". The caller retries through the other entry, and the claim of the other agent
+  // comes second in the log, so the retry is refused. After the agent is resumed, the call must still
+  // have run only once.
+  it('a call whose agent is suspended and resumed runs once, though the caller retries', async () => {
     await hold(true);
-    const first = call(approval(site().entry(0).url, 'frozen', 'key-frozen'));
-    const name = await upstreamInside(site());
+    const first = call(approvalCall(site().entry(0).url, 'frozen', 'key-frozen'));
+    const name = await waitForBusyUpstream(site());
     site().upstream(name).agent.signal('SIGSTOP');
-    const lost = await first;
-    expect(lost.outcome).to.equal('unknown');
+    const firstResult = await first;
+    expect(firstResult.outcome).to.equal('unknown');
     await hold(false);
-    const again = await call(approval(site().entry(1).url, 'frozen', 'key-frozen'));
-    expect(again.outcome).not.to.equal('broken');
+    const retried = await call(approvalCall(site().entry(1).url, 'frozen', 'key-frozen'));
+    expect(retried.outcome).not.to.equal('broken');
     site().upstream(name).agent.signal('SIGCONT');
     await until('the first run ended', async () => {
       const counts = await serviceCounts(site().upstream(name).control);
       return counts.inFlight === 0;
     });
-    expect(again.outcome).not.to.equal('not-run');
-    expect(await runsOf(site(), '/approvals/frozen')).to.equal(1);
+    expect(retried.outcome).not.to.equal('not-run');
+    expect(await countRuns(site(), '/approvals/frozen')).to.equal(1);
   });
 
-  // The log is down: an unkeyed call needs no claim and is served; a keyed one can't be claimed,
-  // so it is refused at once as "not run" with a time to come back, and the service agrees.
+  // While the log is down, a call without a key needs no claim and is served. The key of a keyed call
+  // can't be claimed, so the call must be refused as "not run" with Retry-After.
   it('with the log down calls without a key are served, keyed ones are refused as not run', async () => {
     await setLog({ outage: 'all' });
     const { url } = site().entry(0);
-    const unkeyed = await call(approval(url, 'unkeyed'));
+    const unkeyed = await call(approvalCall(url, 'unkeyed'));
     expect(unkeyed.outcome).to.equal('answered');
-    const keyed = await call(approval(url, 'keyed', 'key-down'));
+    const keyed = await call(approvalCall(url, 'keyed', 'key-down'));
     expect(keyed.outcome).to.equal('not-run');
     expect(Number(keyed.headers['retry-after'])).to.be.at.least(1);
     await setLog({ outage: 'none' });
-    expect(await runsOf(site(), '/approvals/keyed')).to.equal(0);
+    expect(await countRuns(site(), '/approvals/keyed')).to.equal(0);
   });
 });
--- a/packages/lab/test/failures/log-down.test.ts
+++ b/packages/lab/test/failures/log-down.test.ts
@@ -4,14 +4,14 @@
 import { smallSite } from '../../src/harness/small-site.js';
 import { setFaults } from '../../src/harness/stand-ins.js';
 import { releaseTraffic } from '../../src/harness/workloads.js';
-import { runsOf, useSite } from '../support/site.js';
+import { countRuns, useSite } from '../support/site.js';
 
 describe("the platform's log is down for the whole run", () => {
   const site = useSite(() => smallSite('magyar-vizualis', { entries: 2, engines: 2, replicas: 2 }));
 
-  // The log answers nothing from the first call to the last. Verdicts, summaries and pings need no
-  // claim and are served as ever. Approvals carry a key that nobody can claim: each is refused at
-  // once as "not run" with a time to come back, and the service's own count agrees.
+  // The log is down from the first call to the last. Verdicts, summaries and pings need no claim and
+  // must be served. The idempotency keys of approvals can't be claimed, so each approval must be
+  // refused as "not run" with Retry-After, and the service must not have run it.
   it('serves what needs no claim and refuses the rest as not run', async () => {
     await setFaults(site().platform.ready.log, { outage: 'all' });
     const load = startLoad({
@@ -29,7 +29,7 @@
       new Set(['answered']),
     );
     expect(new Set(keyed.map((done) => done.result.outcome))).to.deep.equal(new Set(['not-run']));
-    const runs = await Promise.all(keyed.map((done) => runsOf(site(), done.spec.path)));
+    const runs = await Promise.all(keyed.map((done) => countRuns(site(), done.spec.path)));
     expect(Math.max(...runs)).to.equal(0);
     keyed.forEach((done) => expect(Number(done.result.headers['retry-after'])).to.be.at.least(1));
   });
--- a/packages/lab/test/failures/replacement.test.ts
+++ b/packages/lab/test/failures/replacement.test.ts
@@ -6,18 +6,17 @@
 import { smallSite } from '../../src/harness/small-site.js';
 import { until } from '../../src/harness/until.js';
 import { releaseTraffic } from '../../src/harness/workloads.js';
-import { runsOf, useSite } from '../support/site.js';
+import { countRuns, useSite } from '../support/site.js';
 
 describe('every VM is replaced, one after the other', () => {
   const site = useSite(() => smallSite('magyar-vizualis', { entries: 2, engines: 2, replicas: 2 }));
 
-  // Each VM is told to stop and a new one takes its place, agents first, then entries, while
-  // operators keep changing a class and callers keep calling. Whatever a caller is told is true:
-  // no answer is cut, no approval runs twice or after "not run". The last VM standing knows every
-  // accepted change, though none of those that accepted them is left.
+  // Each VM is stopped and replaced, first the agents, then the entries, while operators change a
+  // class and callers make calls. No answer may be cut, and no approval may run twice or after "not
+  // run". The new entries must know every accepted change, though no process that accepted one is left.
   it('loses no accepted change, cuts no answer, repeats no approval', async () => {
-    const gone: string[] = [];
-    const running = () => site().entries.filter((entry) => !gone.includes(entry.name));
+    const stopped: string[] = [];
+    const running = () => site().entries.filter((entry) => !stopped.includes(entry.name));
     const load = startLoad({
       kinds: releaseTraffic.filter((kind) => kind.class !== 'baseline-note'),
       urls: () => running().map((entry) => entry.url),
@@ -30,9 +29,9 @@
     const change = async (latestAnswerMs: number): Promise<void> => {
       const value = { latestAnswerMs, share: 0.9, priority: 'live', mayNotRepeat: false };
       const [entry] = running().slice(-1);
-      const answer = await entry?.operators.change([{ key, base, value }]);
-      expect(answer?.outcome).to.equal('accepted');
-      base = answer?.outcome === 'accepted' ? answer.version : -1;
+      const submitted = await entry?.operators.change([{ key, base, value }]);
+      expect(submitted?.outcome).to.equal('accepted');
+      base = submitted?.outcome === 'accepted' ? submitted.version : -1;
     };
 
     for (const [index, { name }] of site().upstreams.entries()) {
@@ -47,19 +46,19 @@
     }
     for (const [index, old] of site().entries.slice(0, 2).entries()) {
       await change(2_000 + index);
-      const fresh = await site().startEntry({ ...old, name: `${old.name}-new` });
-      await until('the new entry serves', () => entryServes(site(), fresh), 20_000);
-      gone.push(old.name);
+      const replacement = await site().startEntry({ ...old, name: `${old.name}-new` });
+      await until('the new entry serves', () => entryServes(site(), replacement), 20_000);
+      stopped.push(old.name);
       await old.process.stop(15_000);
     }
     load.stop();
     const calls = await load.finished;
 
-    const told = new Set(calls.map(({ result }: { result: CallResult }) => result.outcome));
-    expect([...told]).not.to.include('broken');
+    const outcomes = new Set(calls.map(({ result }: { result: CallResult }) => result.outcome));
+    expect([...outcomes]).not.to.include('broken');
     const approvals = calls.filter((done) => done.class === 'approval-hook');
     for (const done of approvals) {
-      const runs = await runsOf(site(), done.spec.path);
+      const runs = await countRuns(site(), done.spec.path);
       expect(runs).to.be.at.most(done.result.outcome === 'not-run' ? 0 : 1);
     }
     const documents = await Promise.all(running().map((entry) => entry.operators.intent()));
--- a/packages/lab/test/support/session.ts
+++ b/packages/lab/test/support/session.ts
@@ -4,7 +4,7 @@
 import type { RecordedFrame } from '../../src/harness/link-recorder.js';
 import { until } from '../../src/harness/until.js';
 
-/** One call of a golden session, as the caller and the links saw it. */
+/** One call of a golden session: its request, its frames on the links and its answer. */
 export interface SessionCall {
   call: string;
   request: Record<string, unknown>;
@@ -13,7 +13,7 @@
 }
 
 const decoder = new TextDecoder();
-const SEEN_HEADERS = [
+const RECORDED_HEADERS = [
   'content-type',
   'x-plantaindrum-outcome',
   'x-plantaindrum-reason',
@@ -21,10 +21,10 @@
   'last-event-id',
 ];
 
-const headersSeen = (headers: Record<string, unknown>): Record<string, unknown> =>
-  Object.fromEntries(Object.entries(headers).filter(([name]) => SEEN_HEADERS.includes(name)));
+const selectHeaders = (headers: Record<string, unknown>): Record<string, unknown> =>
+  Object.fromEntries(Object.entries(headers).filter(([name]) => RECORDED_HEADERS.includes(name)));
 
-const dispatchText = (frame: Dispatch): string => {
+const formatDispatch = (frame: Dispatch): string => {
   const { organisation, priority, mayNotRepeat, method, path, idempotency } = frame;
   const rules = [
     `class ${frame.class}`,
@@ -35,11 +35,11 @@
   return `dispatch ${method} ${path} for ${organisation}, ${rules.join(', ')}, ${frame.body.length} bytes`;
 };
 
-/** A frame as a line; load figures, time left and ids change from run to run and are left out. */
-const frameText = (frame: Frame | Hello): string | undefined => {
+/** Formats a frame as a line without the values that vary from run to run: load, time left and ids. */
+const formatFrame = (frame: Frame | Hello): string | undefined => {
   switch (frame.t) {
     case 'dispatch':
-      return dispatchText(frame);
+      return formatDispatch(frame);
     case 'head':
       return `head ${frame.status} ${String(frame.headers['content-type'])}`;
     case 'end':
@@ -55,8 +55,8 @@
   }
 };
 
-/** Frames as lines; the chunks between two others become one line, however they were cut. */
-const frameLines = (frames: RecordedFrame[]): string[] => {
+/** Formats frames as lines; consecutive chunks become one line, because their boundaries vary. */
+const formatFrames = (frames: RecordedFrame[]): string[] => {
   const lines: string[] = [];
   let text = '';
   const flush = (): void => {
@@ -66,7 +66,7 @@
   };
   frames.forEach(({ direction, frame }) => {
     if (frame.t === 'chunk') text += decoder.decode(frame.data);
-    const line = frameText(frame);
+    const line = formatFrame(frame);
     if (line === undefined) return;
     flush();
     lines.push(`${direction === 'to-target' ? '>' : '<'} ${line}`);
@@ -74,34 +74,34 @@
   return lines;
 };
 
-const refusalSeen = (body: string): unknown => {
+const describeRefusal = (body: string): unknown => {
   const { error } = JSON.parse(body) as { error: Record<string, unknown> };
   return { ...error, ...('retry_after_ms' in error ? { retry_after_ms: '(ms)' } : {}) };
 };
 
-const eventText = (data: string): string => {
+const extractTokens = (data: string): string => {
   if (!data.startsWith('{')) return data;
   const { choices } = JSON.parse(data) as { choices: { text: string }[] };
   return choices.map((choice) => choice.text).join('');
 };
 
-const answerSeen = (result: CallResult): Record<string, unknown> => ({
+const describeAnswer = (result: CallResult): Record<string, unknown> => ({
   outcome: result.outcome,
   status: result.status,
   headers: {
-    ...headersSeen(result.headers),
+    ...selectHeaders(result.headers),
     ...('retry-after' in result.headers ? { 'retry-after': '(s)' } : {}),
   },
-  ...(result.events.length > 0 ? { tokens: result.events.map(eventText) } : {}),
+  ...(result.events.length > 0 ? { tokens: result.events.map(extractTokens) } : {}),
   ...(result.events.length === 0 && result.outcome === 'answered'
     ? { body: JSON.parse(result.body) as unknown }
     : {}),
   ...(result.events.length === 0 && result.outcome !== 'answered'
-    ? { error: refusalSeen(result.body) }
+    ? { error: describeRefusal(result.body) }
     : {}),
 });
 
-const requestSeen = (spec: CallSpec): Record<string, unknown> => ({
+const describeRequest = (spec: CallSpec): Record<string, unknown> => ({
   path: spec.path,
   key: spec.key,
   ...(spec.class === undefined ? {} : { class: spec.class }),
@@ -109,13 +109,13 @@
   body: spec.body,
 });
 
-const settled = (frames: RecordedFrame[]): boolean => {
+const haveAttemptsEnded = (frames: RecordedFrame[]): boolean => {
   const opened = frames.filter(({ frame }) => frame.t === 'dispatch').length;
   const closed = frames.filter(({ frame }) => ['end', 'not-run', 'unknown'].includes(frame.t));
   return closed.length >= opened;
 };
 
-/** Makes the calls one after the other and writes down what caller and links saw. */
+/** Makes the calls one after the other and records each request, its frames and its answer. */
 export const recordSession = async (
   calls: [string, CallSpec][],
   frames: RecordedFrame[],
@@ -124,12 +124,12 @@
   for (const [name, spec] of calls) {
     const from = frames.length;
     const result = await call(spec);
-    await until('the attempt has ended on its link', () => settled(frames.slice(from)));
+    await until('the attempt has ended on its link', () => haveAttemptsEnded(frames.slice(from)));
     session.push({
       call: name,
-      request: requestSeen(spec),
-      link: frameLines(frames.slice(from)),
-      answer: answerSeen(result),
+      request: describeRequest(spec),
+      link: formatFrames(frames.slice(from)),
+      answer: describeAnswer(result),
     });
   }
   return session;
--- a/packages/lab/test/support/site.ts
+++ b/packages/lab/test/support/site.ts
@@ -9,23 +9,23 @@
 import { until } from '../../src/harness/until.js';
 
 const START_TIMEOUT_MS = 60_000;
-/** Keeps the targets of the examples, a second or so, from passing on a machine under load. */
-const PATIENCE = 20;
+/** Lengthens the deadlines of the examples, about a second, which a machine under load would miss. */
+const DEADLINE_FACTOR = 20;
 
-const withPatience = (spec: SiteSpec): SiteSpec => {
+const withLongerDeadlines = (spec: SiteSpec): SiteSpec => {
   const classes = Object.entries(spec.intent.classes).map(([name, declared]) => [
     name,
-    { ...declared, latestAnswerMs: PATIENCE * declared.latestAnswerMs },
+    { ...declared, latestAnswerMs: DEADLINE_FACTOR * declared.latestAnswerMs },
   ]);
   return { ...spec, intent: { ...spec.intent, classes: Object.fromEntries(classes) } };
 };
 
-/** Starts a site before the tests of a suite and ends it after them. */
+/** Starts a site before the tests of a suite and closes it after them. */
 export const useSite = (spec: () => SiteSpec): (() => Site) => {
   let site: Site | undefined;
   before(async function start() {
     this.timeout(START_TIMEOUT_MS);
-    site = await startSite(withPatience(spec()));
+    site = await startSite(withLongerDeadlines(spec()));
   });
   after(async () => {
     await site?.close();
@@ -36,7 +36,7 @@
   };
 };
 
-/** Puts a forwarder before the link of each agent; `forwarder(name)` gives the newest one. */
+/** Puts a forwarder in front of each agent's link; `forwarder(name)` returns the latest one. */
 export const forwardLinks = () => {
   const forwarders = new Map<string, Forwarder>();
   const listedLink = async (name: string, link: string): Promise<string> => {
@@ -55,8 +55,8 @@
   return { listedLink, forwarder, close };
 };
 
-/** An approval hook of the association; `key` makes it safe to ask again. */
-export const approval = (url: string, name: string, key?: string): CallSpec => ({
+/** Builds an approval hook, which may not be repeated; the idempotency key makes a retry safe. */
+export const approvalCall = (url: string, name: string, key?: string): CallSpec => ({
   url,
   path: `/approvals/${name}`,
   key: exampleKey('duna-digital'),
@@ -64,31 +64,31 @@
   ...(key === undefined ? {} : { idempotencyKey: key }),
 });
 
-/** A diff verdict as a stream of so many tokens. */
-export const verdict = (url: string, prompt: string, maxTokens: number): CallSpec => ({
+/** Builds a diff verdict that is streamed as up to `maxTokens` tokens. */
+export const verdictCall = (url: string, prompt: string, maxTokens: number): CallSpec => ({
   url,
   key: exampleKey('duna-digital'),
   class: 'diff-verdict',
   ...completion({ model: 'visual-reviewer', prompt, maxTokens, stream: true }),
 });
 
-/** How often a path ran, over every replica of the site's plain services. */
-export const runsOf = async (site: Site, path: string): Promise<number> => {
+/** Counts the executions of a path over all replicas of the site's plain services. */
+export const countRuns = async (site: Site, path: string): Promise<number> => {
   const replicas = site.services.flatMap((service) => service.processes);
   const counts = await Promise.all(replicas.map((child) => serviceCounts(child.ready.control)));
   return counts.reduce((sum, count) => sum + (count.byPath[path] ?? 0), 0);
 };
 
-/** Waits until a replica has a call inside; gives the name of its upstream. */
-export const upstreamInside = (site: Site): Promise<string> =>
-  until('a call is inside a service', async () => {
+/** Waits until a replica runs a call and returns the name of its upstream. */
+export const waitForBusyUpstream = (site: Site): Promise<string> =>
+  until('a service runs a call', async () => {
     const services = site.upstreams.filter((upstream) => upstream.kind === 'service');
     const counts = await Promise.all(services.map(({ control }) => serviceCounts(control)));
     return services.find((_, index) => (counts[index]?.inFlight ?? 0) > 0)?.name;
   });
 
 /** Sums a count over the engines of the site's first group. */
-export const engineSum = async (
+export const sumEngineCounts = async (
   site: Site,
   count: 'started' | 'finished' | 'cancelled' | 'running' | 'waiting',
 ): Promise<number> => {
