--- a/packages/lab/src/bench/pass-through.ts
+++ b/packages/lab/src/bench/pass-through.ts
@@ -1,4 +1,7 @@
-/** A pass-through without decisions, on the runtime's HTTP library: `pass-through.js HOST PORT TO_HOST TO_PORT INSTANCE`. */
+/**
+ * HTTP proxy that makes no decisions, as a baseline: `pass-through.js HOST PORT TO_HOST TO_PORT
+ * INSTANCE`.
+ */
 
 import { createServer, request } from 'node:http';
 import { instanceHeaders } from '@plantaindrum/stand-ins';
@@ -8,12 +11,15 @@
 const server = createServer((req, res) => {
   const { method, url: path } = req;
   const headers = { ...req.headers, ...instanceHeaders(instance) };
-  const out = request({ host: toHost, port: Number(toPort), method, path, headers }, (answer) => {
-    res.writeHead(answer.statusCode ?? 502, answer.headers);
-    answer.pipe(res);
-  });
-  out.on('error', () => res.destroy());
-  req.pipe(out);
+  const upstreamRequest = request(
+    { host: toHost, port: Number(toPort), method, path, headers },
+    (response) => {
+      res.writeHead(response.statusCode ?? 502, response.headers);
+      response.pipe(res);
+    },
+  );
+  upstreamRequest.on('error', () => res.destroy());
+  req.pipe(upstreamRequest);
 });
 server.listen(Number(port), host, () => {
   process.stdout.write(`${JSON.stringify({ port: server.address() })}\n`);
--- a/packages/lab/src/bench/request-cost.ts
+++ b/packages/lab/src/bench/request-cost.ts
@@ -1,4 +1,4 @@
-/** Processor time of an entry for a plain request, against a pass-through before the same server. */
+/** CPU time of an entry for a plain request, relative to a pass-through proxy to the same server. */
 
 import { setTimeout as delay } from 'node:timers/promises';
 import { createSeededRandom } from '@plantaindrum/common';
@@ -12,59 +12,73 @@
 const SIZE = { entries: 1, ranks: 1, books: 1, sets: 2, experts: 12, passMs: 25 };
 const PASS_THROUGH = 'packages/lab/dist/bench/pass-through.js';
 const KEY = 'key-a';
-const BOOK = 'book-0';
-/** Requests before the count begins: compiled code counts, compiling does not. */
-const WARM_UP = 600;
-const COUNTED = 2_000;
-const AT_ONCE = 4;
-const TRY_MS = 100;
-const MOST_TRIES = 100;
+const SERVER_INSTANCE = 'book-0';
+/** Requests before the measurement, so that it doesn't include JIT compilation. */
+const WARM_UP_REQUESTS = 600;
+const MEASURED_REQUESTS = 2_000;
+const CONCURRENCY = 4;
+const RETRY_DELAY_MS = 100;
+const MAX_TRIES = 100;
 
-const askMany = async (count: number, ask: () => Promise<{ status: number }>): Promise<void> => {
-  const askInTurn = async (): Promise<void> => {
-    for (let n = 0; n < count / AT_ONCE; n += 1) {
-      const { status } = await ask();
-      if (status !== 200) throw new Error(`a request was answered ${status}`);
+const sendCalls = async (
+  count: number,
+  sendCall: () => Promise<{ status: number }>,
+): Promise<void> => {
+  const sendSequentially = async (): Promise<void> => {
+    for (let n = 0; n < count / CONCURRENCY; n += 1) {
+      const { status } = await sendCall();
+      if (status !== 200) throw new Error(`a request got status ${status}`);
     }
   };
-  await Promise.all(Array.from({ length: AT_ONCE }, askInTurn));
+  await Promise.all(Array.from({ length: CONCURRENCY }, sendSequentially));
 };
 
-/** The entry serves once it knows the intent and the servers. */
-const untilServed = async (ask: () => Promise<{ status: number }>): Promise<void> => {
-  for (let tries = 0; (await ask()).status !== 200; tries += 1) {
-    if (tries > MOST_TRIES) throw new Error('the entry serves nothing');
-    await delay(TRY_MS);
+/** Waits until the entry has received the intent and the server records and serves a call. */
+const waitUntilServed = async (sendCall: () => Promise<{ status: number }>): Promise<void> => {
+  for (let tries = 0; (await sendCall()).status !== 200; tries += 1) {
+    if (tries > MAX_TRIES) throw new Error('the entry serves no calls');
+    await delay(RETRY_DELAY_MS);
   }
 };
 
-/** Milliseconds of a process for one request. */
-const costAt = async (pid: number, ask: () => Promise<{ status: number }>): Promise<number> => {
-  await askMany(WARM_UP, ask);
+/** Measures the CPU time of a process for one request, in ms. */
+const measureCpuMsPerRequest = async (
+  pid: number,
+  sendCall: () => Promise<{ status: number }>,
+): Promise<number> => {
+  await sendCalls(WARM_UP_REQUESTS, sendCall);
   const before = await usedMs(pid);
-  await askMany(COUNTED, ask);
-  return ((await usedMs(pid)) - before) / COUNTED;
+  await sendCalls(MEASURED_REQUESTS, sendCall);
+  return ((await usedMs(pid)) - before) / MEASURED_REQUESTS;
 };
 
-/** Plays the same requests through both. */
+/** Sends the same requests through an entry and through the pass-through. */
 export const measureRequestCost = async (seed: number): Promise<UnitCost> => {
   const site = await startWorld(SIZE);
   const [entry] = site.vms;
   if (!entry) throw new Error('no entry');
   const passIp = entry.ip.replace(/\d+$/, '200');
-  const bookIp = entry.ip.replace(/\d+\.\d+$/, '3.1');
-  const args = [passIp, `${SOAK_PORTS.callers}`, bookIp, `${SOAK_PORTS.engine}`, BOOK];
-  const pass = await startChild({ name: 'pass-through', script: PASS_THROUGH, args });
+  const serverIp = entry.ip.replace(/\d+\.\d+$/, '3.1');
+  const args = [passIp, `${SOAK_PORTS.callers}`, serverIp, `${SOAK_PORTS.engine}`, SERVER_INSTANCE];
+  const passThrough = await startChild({ name: 'pass-through', script: PASS_THROUGH, args });
   const callers = startCallers(site, createSeededRandom(seed), 1, [KEY]);
   try {
-    const asAt = (ip: string): Vm => ({ ...entry, ip });
-    await untilServed(() => callers.sendCall(entry, 'safe', KEY));
-    const cost = await costAt(entry.child.pid, () => callers.sendCall(entry, 'safe', KEY));
-    const plain = await costAt(pass.pid, () => callers.sendCall(asAt(passIp), 'safe', KEY));
-    return { name: 'a plain request at an entry', against: 'a pass-through', ratio: cost / plain };
+    const vmAt = (ip: string): Vm => ({ ...entry, ip });
+    await waitUntilServed(() => callers.sendCall(entry, 'safe', KEY));
+    const cost = await measureCpuMsPerRequest(entry.child.pid, () =>
+      callers.sendCall(entry, 'safe', KEY),
+    );
+    const passThroughCost = await measureCpuMsPerRequest(passThrough.pid, () =>
+      callers.sendCall(vmAt(passIp), 'safe', KEY),
+    );
+    return {
+      name: 'a plain request at an entry',
+      against: 'a pass-through',
+      ratio: cost / passThroughCost,
+    };
   } finally {
     await callers.stop();
-    await pass.stop();
+    await passThrough.stop();
     await site.close();
   }
 };
--- a/packages/lab/src/bench/unit-costs.ts
+++ b/packages/lab/src/bench/unit-costs.ts
@@ -1,65 +1,68 @@
-/** Unit costs as ratios to the plainest code that does the same, both in one run: no clock of a machine matters. */
+/**
+ * Unit costs as ratios to the simplest code that does the same. Both are measured in one run, so that
+ * the ratios don't depend on the speed of the machine.
+ */
 
 import { createSeededRandom } from '@plantaindrum/common';
 import type { Random } from '@plantaindrum/common';
 import { pickOffer } from '@plantaindrum/gateway';
 import { createFrameSplitter, decodeFrame, encodeFrame } from '@plantaindrum/link';
 
-/** One unit cost. */
+/** A unit cost, as the ratio to the baseline that `against` names. */
 export interface UnitCost {
   name: string;
   against: string;
   ratio: number;
 }
 
-const MOST_BYTES = 1_024;
+const MAX_FRAME_BYTES = 1_024;
 const ROUNDS = 9;
-const TIMES_A_ROUND = 2_000;
+const CALLS_PER_ROUND = 2_000;
 
-/** Time of a round of calls, in ms. */
+/** Measures the time of a round of calls, in ms. */
 const timeRound = (work: () => unknown): number => {
-  const began = performance.now();
-  for (let n = 0; n < TIMES_A_ROUND; n += 1) work();
-  return performance.now() - began;
+  const startedAt = performance.now();
+  for (let n = 0; n < CALLS_PER_ROUND; n += 1) work();
+  return performance.now() - startedAt;
 };
 
-/** Least of several rounds by turns: what else the machine does only ever adds. */
-const ratioOf = (work: () => unknown, plain: () => unknown): number => {
-  let least = Infinity;
-  let leastPlain = Infinity;
+/** Compares the minimum of alternating rounds, because other work on the machine only adds time. */
+const measureRatio = (work: () => unknown, baseline: () => unknown): number => {
+  let minMs = Infinity;
+  let minBaselineMs = Infinity;
   for (let round = 0; round < ROUNDS; round += 1) {
-    least = Math.min(least, timeRound(work));
-    leastPlain = Math.min(leastPlain, timeRound(plain));
+    minMs = Math.min(minMs, timeRound(work));
+    minBaselineMs = Math.min(minBaselineMs, timeRound(baseline));
   }
-  return least / leastPlain;
+  return minMs / minBaselineMs;
 };
 
-const choiceCost = (upstreams: number, random: Random): UnitCost => {
+const measureSelection = (upstreams: number, random: Random): UnitCost => {
   const offers = Array.from({ length: upstreams }, () => ({ cost: random(), free: 4 * random() }));
-  const leastCost = (): number => offers.reduce((least, { cost }) => Math.min(least, cost), 1);
+  const findMinCost = (): number => offers.reduce((least, { cost }) => Math.min(least, cost), 1);
   return {
-    name: `choice among ${upstreams} upstreams`,
-    against: 'least of as many costs',
-    ratio: ratioOf(() => pickOffer(offers, upstreams / 10, random), leastCost),
+    name: `selection among ${upstreams} upstreams`,
+    against: 'the minimum of as many costs',
+    ratio: measureRatio(() => pickOffer(offers, upstreams / 10, random), findMinCost),
   };
 };
 
-const heartbeatCost = (): UnitCost => {
+const measureHeartbeat = (): UnitCost => {
   const ping = { t: 'ping', seq: 7, intentOffset: 41 } as const;
-  const splitter = createFrameSplitter(MOST_BYTES);
-  const thereAndBack = (): unknown => {
+  const splitter = createFrameSplitter(MAX_FRAME_BYTES);
+  const roundTrip = (): unknown => {
     const split = splitter.push(encodeFrame(ping));
     return split.ok && split.value.map(decodeFrame);
   };
   return {
-    name: 'a heartbeat as a frame, there and back',
+    name: 'a heartbeat encoded as a frame and decoded',
     against: 'the same fields as JSON',
-    ratio: ratioOf(thereAndBack, () => JSON.parse(JSON.stringify(ping)) as unknown),
+    ratio: measureRatio(roundTrip, () => JSON.parse(JSON.stringify(ping)) as unknown),
   };
 };
 
-/** Measures the unit costs that need no process of their own. */
+/** Measures the unit costs that can be measured within this process. */
 export const measureUnitCosts = (seed: number): UnitCost[] => {
   const random = createSeededRandom(seed);
-  return [choiceCost(16, random), choiceCost(200, random), heartbeatCost()];
+  return [measureSelection(16, random), measureSelection(200, random), measureHeartbeat()];
 };
--- a/packages/lab/src/cli/bench/main.ts
+++ b/packages/lab/src/cli/bench/main.ts
@@ -1,4 +1,4 @@
-/** `npm run bench`: unit costs as ratios, each against the plainest code that does the same. */
+/** `npm run bench`: prints unit costs as ratios to the simplest code that does the same. */
 
 import { measureRequestCost } from '../../bench/request-cost.js';
 import { measureUnitCosts } from '../../bench/unit-costs.js';
--- a/packages/lab/src/cli/demo/answers.ts
+++ b/packages/lab/src/cli/demo/answers.ts
@@ -1,4 +1,4 @@
-/** Judges answers by the text that the stand-ins derive from a call, not by status codes. */
+/** Checks answers against the text that the stand-ins derive from a call, not by status codes. */
 import { checkCompletion, checkService, createStreamCheck } from '@plantaindrum/stand-ins';
 import type { LoadCall } from '../../harness/load.js';
 
@@ -11,7 +11,7 @@
 const isCompletion = (body: unknown): body is CompletionBody =>
   typeof (body as CompletionBody | undefined)?.prompt === 'string';
 
-const isOwnCompletion = (text: string, body: CompletionBody): boolean => {
+const isCorrectCompletion = (text: string, body: CompletionBody): boolean => {
   if (!body.stream) {
     return checkCompletion(text, body.prompt, body.max_tokens).outcome === 'answered';
   }
@@ -20,10 +20,10 @@
   return check.end(true).outcome === 'answered';
 };
 
-/** True when the answer of an answered call is whole and belongs to this call. */
-export const isOwnWholeAnswer = ({ spec, result }: LoadCall): boolean => {
-  if (isCompletion(spec.body)) return isOwnCompletion(result.body, spec.body);
+/** Whether the answer of an answered call is complete and belongs to this call. */
+export const isCorrectAnswer = ({ spec, result }: LoadCall): boolean => {
+  if (isCompletion(spec.body)) return isCorrectCompletion(result.body, spec.body);
   const sent = spec.body === undefined ? '' : JSON.stringify(spec.body);
-  const verdict = checkService(result.body, spec.path, spec.idempotencyKey, sent);
-  return verdict.outcome === 'answered';
+  const checked = checkService(result.body, spec.path, spec.idempotencyKey, sent);
+  return checked.outcome === 'answered';
 };
--- a/packages/lab/src/cli/demo/main.ts
+++ b/packages/lab/src/cli/demo/main.ts
@@ -1,7 +1,7 @@
 import yargs from 'yargs';
 import { hideBin } from 'yargs/helpers';
 import { runDemo } from './run.js';
-import { summaryText } from './summary.js';
+import { formatSummary } from './summary.js';
 
 const args = await yargs(hideBin(process.argv))
   .scriptName('demo')
@@ -21,6 +21,6 @@
 };
 
 const summary = await runDemo({ seconds: args.seconds, seed: args.seed, print });
-print(summaryText(summary));
+print(formatSummary(summary));
 if (args.json) print(JSON.stringify(summary));
 process.exitCode = summary.held ? 0 : 1;
--- a/packages/lab/src/cli/demo/run.ts
+++ b/packages/lab/src/cli/demo/run.ts
@@ -16,7 +16,7 @@
   print: (line: string) => void;
 }
 
-const PROGRESS_MS = 1000;
+const PROGRESS_INTERVAL_MS = 1000;
 
 const describeSite = (site: Site): string => {
   const processes = 1 + site.groups.length + site.upstreams.length + site.entries.length;
@@ -42,7 +42,7 @@
       `${String(second).padStart(3)} s  ended ${counts.sent}, answered ${counts.answered}, ` +
         `refused ${counts.refused}, unknown ${counts.unknown}, open ${open}`,
     );
-  }, PROGRESS_MS);
+  }, PROGRESS_INTERVAL_MS);
   return { counts, stop: () => clearInterval(timer) };
 };
 
@@ -67,7 +67,7 @@
   return calls;
 };
 
-/** Starts the site, sends the load, asks the stand-ins for their counts, ends everything. */
+/** Starts the site, sends the load, fetches the stand-ins' counts and closes the site. */
 export const runDemo = async (options: DemoOptions): Promise<DemoSummary> => {
   const spec = demoSite();
   options.print('starting the stand-ins, agents and entries');
--- a/packages/lab/src/cli/demo/site.ts
+++ b/packages/lab/src/cli/demo/site.ts
@@ -2,7 +2,7 @@
 import type { SiteSpec } from '../../harness/site-types.js';
 import { smallSite } from '../../harness/small-site.js';
 
-const merge = (a: IntentDocument, b: IntentDocument): IntentDocument => ({
+const mergeIntents = (a: IntentDocument, b: IntentDocument): IntentDocument => ({
   classes: { ...a.classes, ...b.classes },
   organisations: { ...a.organisations, ...b.organisations },
   routes: { ...a.routes, ...b.routes },
@@ -10,13 +10,13 @@
   dataCentres: { ...a.dataCentres, ...b.dataCentres },
 });
 
-/** One data centre of each example deployment, behind the same two entries. */
+/** One data centre of each example deployment; both share their two entries. */
 export const demoSite = (): SiteSpec => {
   const sale = smallSite('cascade-lotline', { engines: 2, replicas: 2 });
   const release = smallSite('magyar-vizualis', { engines: 2, replicas: 2 });
   return {
     region: 'demo',
-    intent: merge(sale.intent, release.intent),
+    intent: mergeIntents(sale.intent, release.intent),
     groups: [...sale.groups, ...release.groups],
     services: [...sale.services, ...release.services],
     entries: [...sale.entries, ...release.entries],
--- a/packages/lab/src/cli/demo/summary.ts
+++ b/packages/lab/src/cli/demo/summary.ts
@@ -1,17 +1,17 @@
 import type { LoadCall } from '../../harness/load.js';
 import { percentile } from '../../harness/statistics.js';
-import { isOwnWholeAnswer } from './answers.js';
+import { isCorrectAnswer } from './answers.js';
 
-/** Counts of one class of work. */
+/** Counts of one class. */
 export interface ClassCounts {
   sent: number;
   answered: number;
-  /** Median and 95th percentile of the whole answer, in milliseconds. */
+  /** Median and 95th percentile of the time to the end of the answer. */
   p50Ms: number;
   p95Ms: number;
 }
 
-/** Counts of a demo run; the promises held when `held` is true. */
+/** Counts of a demo run; `held` is true when no guarantee was violated. */
 export interface DemoSummary {
   sent: number;
   answered: number;
@@ -19,18 +19,18 @@
   refused: Record<string, number>;
   /** Refusals that say "unknown", by reason. */
   unknown: Record<string, number>;
-  /** Other error answers, by status. */
+  /** Other error responses, by status. */
   errors: Record<string, number>;
-  /** Connections that ended without a whole answer or an explanation. */
+  /** Connections that ended without a full response or an error. */
   broken: number;
-  /** Answers that ended cleanly, yet are not whole or belong to another call. */
+  /** Answers that ended cleanly but are incomplete or belong to another call. */
   wrongAnswers: number;
   mayNotRepeat: {
     calls: number;
     executions: number;
-    /** Most executions of one call. */
+    /** Maximum number of executions of one call. */
     most: number;
-    /** Calls refused as "not run" that the service ran all the same. */
+    /** Calls refused as "not run" that the service did run. */
     ranThoughNotRun: number;
   };
   steps: number;
@@ -42,7 +42,7 @@
   held: boolean;
 }
 
-/** What the stand-ins counted. */
+/** Counts of the stand-ins. */
 export interface Oracle {
   /** Executions by path, over every plain service. */
   byPath: Record<string, number>;
@@ -51,7 +51,7 @@
   mapChanges: number;
 }
 
-const tally = (calls: LoadCall[], keyOf: (call: LoadCall) => string): Record<string, number> => {
+const countBy = (calls: LoadCall[], keyOf: (call: LoadCall) => string): Record<string, number> => {
   const counts: Record<string, number> = {};
   calls.forEach((call) => {
     const key = keyOf(call);
@@ -71,7 +71,7 @@
   };
 };
 
-const executionsOf = (calls: LoadCall[], byPath: Record<string, number>) => {
+const countExecutions = (calls: LoadCall[], byPath: Record<string, number>) => {
   const runs = calls.map((call) => byPath[call.spec.path] ?? 0);
   const notRun = calls.filter((call) => call.result.outcome === 'not-run');
   return {
@@ -82,22 +82,22 @@
   };
 };
 
-/** Counts what became of a load, with the stand-ins' own counts as the judge. */
+/** Summarizes the outcomes of a load and checks them against the stand-ins' counts. */
 export const summarize = (
   calls: LoadCall[],
   oracle: Oracle,
   mayNotRepeat: (className: string) => boolean,
 ): DemoSummary => {
-  const by = (outcome: string) => calls.filter((call) => call.result.outcome === outcome);
-  const executions = executionsOf(
+  const withOutcome = (outcome: string) => calls.filter((call) => call.result.outcome === outcome);
+  const executions = countExecutions(
     calls.filter((call) => mayNotRepeat(call.class)),
     oracle.byPath,
   );
   const names = [...new Set(calls.map((call) => call.class))].sort();
-  const broken = by('broken').length;
-  const answered = by('answered').length;
-  const wrongAnswers = by('answered').filter((call) => !isOwnWholeAnswer(call)).length;
-  const promises = [
+  const broken = withOutcome('broken').length;
+  const answered = withOutcome('answered').length;
+  const wrongAnswers = withOutcome('answered').filter((call) => !isCorrectAnswer(call)).length;
+  const guarantees = [
     answered > 0,
     broken === 0,
     wrongAnswers === 0,
@@ -108,9 +108,9 @@
   return {
     sent: calls.length,
     answered,
-    refused: tally(by('not-run'), (call) => call.result.reason),
-    unknown: tally(by('unknown'), (call) => call.result.reason),
-    errors: tally(by('error'), (call) => String(call.result.status)),
+    refused: countBy(withOutcome('not-run'), (call) => call.result.reason),
+    unknown: countBy(withOutcome('unknown'), (call) => call.result.reason),
+    errors: countBy(withOutcome('error'), (call) => String(call.result.status)),
     broken,
     wrongAnswers,
     mayNotRepeat: executions,
@@ -120,17 +120,17 @@
     classes: Object.fromEntries(
       names.map((name) => [name, classCounts(calls.filter((call) => call.class === name))]),
     ),
-    held: promises.every(Boolean),
+    held: guarantees.every(Boolean),
   };
 };
 
-const listed = (counts: Record<string, number>): string =>
+const formatCounts = (counts: Record<string, number>): string =>
   Object.entries(counts)
     .map(([name, count]) => `${name} ${count}`)
     .join(', ') || 'none';
 
-/** The summary as lines for people. */
-export const summaryText = (summary: DemoSummary): string => {
+/** Formats the summary as text. */
+export const formatSummary = (summary: DemoSummary): string => {
   const { mayNotRepeat } = summary;
   const classes = Object.entries(summary.classes).map(
     ([name, counts]) =>
@@ -140,14 +140,14 @@
     '',
     `sent                 ${summary.sent}`,
     `answered             ${summary.answered}`,
-    `refused (not run)    ${listed(summary.refused)}`,
-    `outcome unknown      ${listed(summary.unknown)}`,
-    `other errors         ${listed(summary.errors)}`,
+    `refused (not run)    ${formatCounts(summary.refused)}`,
+    `outcome unknown      ${formatCounts(summary.unknown)}`,
+    `other errors         ${formatCounts(summary.errors)}`,
     `broken off           ${summary.broken}`,
     `wrong answers        ${summary.wrongAnswers}`,
     `may not repeat       ${mayNotRepeat.calls} calls, ${mayNotRepeat.executions} executions, at most ${mayNotRepeat.most} each`,
     `lock-step groups     ${summary.steps} steps, ${summary.mapChanges} changes of the expert map, ${summary.mixedSteps} steps with mixed maps`,
     ...classes,
-    summary.held ? 'every promise held' : 'A PROMISE WAS BROKEN',
+    summary.held ? 'every guarantee held' : 'A GUARANTEE WAS VIOLATED',
   ].join('\n');
 };
--- a/packages/lab/src/docs/main.ts
+++ b/packages/lab/src/docs/main.ts
@@ -1,6 +1,6 @@
 /** Writes the tables of docs/OPERATING.md (`npm run docs`). */
 
 import { writeFileSync } from 'node:fs';
-import { currentPage, OPERATING_PAGE } from './operating-page.js';
+import { renderPage, OPERATING_PAGE } from './operating-page.js';
 
-writeFileSync(OPERATING_PAGE, await currentPage());
+writeFileSync(OPERATING_PAGE, await renderPage());
--- a/packages/lab/src/docs/operating-page.ts
+++ b/packages/lab/src/docs/operating-page.ts
@@ -1,6 +1,6 @@
 /**
- * The tables of docs/OPERATING.md, made from the catalogues of the code. `npm run docs` writes
- * them between the markers of the page; a test compares.
+ * Generates the tables of docs/OPERATING.md from the catalogues in the code. `npm run docs` writes
+ * them between the markers of the page; a test checks that the page is up to date.
  */
 
 import { readFileSync } from 'node:fs';
@@ -22,16 +22,16 @@
 /** Path of the page. */
 export const OPERATING_PAGE = join(repositoryRoot, 'docs/OPERATING.md');
 
-const cell = (text: string): string => text.replaceAll('|', '\\|').replaceAll('\n', ' ');
+const escapeCell = (text: string): string => text.replaceAll('|', '\\|').replaceAll('\n', ' ');
 
 const table = (head: string[], rows: string[][]): string =>
   [head, head.map(() => '---'), ...rows]
-    .map((row) => `| ${row.map(cell).join(' | ')} |`)
+    .map((row) => `| ${row.map(escapeCell).join(' | ')} |`)
     .join('\n');
 
 const code = (text: string): string => `\`${text}\``;
 
-const standardText = ({ standard, required }: KeyDescription): string => {
+const formatDefault = ({ standard, required }: KeyDescription): string => {
   if (standard !== undefined) return code(standard);
   return required ? 'required' : 'none';
 };
@@ -39,10 +39,10 @@
 const settingsTable = (keys: KeyDescription[]): string =>
   table(
     ['key', 'value', 'default', 'meaning'],
-    keys.map((key) => [code(key.key), key.expected, standardText(key), key.description]),
+    keys.map((key) => [code(key.key), key.expected, formatDefault(key), key.description]),
   );
 
-const agentOnly = (): KeyDescription[] =>
+const agentOnlyKeys = (): KeyDescription[] =>
   describeKeys(agentSettingsSchema).filter(({ key }) => key.startsWith('upstream.'));
 
 const tables: Record<string, () => string> = {
@@ -70,7 +70,7 @@
       Object.entries(exitCodes).map(([name, value]) => [String(value), name]),
     ),
   'entry-settings': () => settingsTable(describeKeys(entrySettingsSchema)),
-  'agent-settings': () => settingsTable(agentOnly()),
+  'agent-settings': () => settingsTable(agentOnlyKeys()),
   metrics: () =>
     table(
       ['metric', 'meaning'],
@@ -78,22 +78,22 @@
     ),
 };
 
-const fill = (page: string, name: string, text: string): string => {
+const replaceTable = (page: string, name: string, text: string): string => {
   const begin = `<!-- table: ${name} -->`;
   const end = `<!-- end: ${name} -->`;
   const [from, to] = [page.indexOf(begin), page.indexOf(end)];
-  if (from < 0 || to < from) throw new Error(`the page has no place for the table ${name}`);
+  if (from < 0 || to < from) throw new Error(`the page has no markers for the table ${name}`);
   return `${page.slice(0, from)}${begin}\n\n${text}\n\n${page.slice(to)}`;
 };
 
-/** The page with all its tables as the code has them now. */
-export const currentPage = (): Promise<string> => {
+/** Returns the page with all its tables generated from the code. */
+export const renderPage = (): Promise<string> => {
   const filled = Object.entries(tables).reduce(
-    (page, [name, make]) => fill(page, name, make()),
+    (page, [name, make]) => replaceTable(page, name, make()),
     readFileSync(OPERATING_PAGE, 'utf8'),
   );
   return format(filled, { parser: 'markdown', printWidth: 100 });
 };
 
-/** The page as it stands. */
-export const committedPage = (): string => readFileSync(OPERATING_PAGE, 'utf8');
+/** Reads the page from its file. */
+export const readPage = (): string => readFileSync(OPERATING_PAGE, 'utf8');
--- a/packages/lab/test/examples.test.ts
+++ b/packages/lab/test/examples.test.ts
@@ -21,7 +21,7 @@
   files
     .filter((file) => file.endsWith('intent.jsonc'))
     .forEach((file) => {
-      it(`${file} is valid, and its references meet`, () => {
+      it(`${file} is valid, and its references resolve`, () => {
         const intent = readIntentFile(`${examples}/${file}`);
         const classes = Object.keys(intent.classes);
         Object.values(intent.organisations).forEach((organisation) =>
--- a/packages/lab/test/forwarder.test.ts
+++ b/packages/lab/test/forwarder.test.ts
@@ -25,15 +25,15 @@
     server.close();
   });
 
-  const begin = () => connect(Number(forwarder.address.split(':')[1]), '127.0.0.1');
-  const open = async () => {
-    const socket = begin();
+  const connectToForwarder = () => connect(Number(forwarder.address.split(':')[1]), '127.0.0.1');
+  const openConnection = async () => {
+    const socket = connectToForwarder();
     await once(socket, 'connect');
     return socket;
   };
 
-  it('passes bytes, holds them back, and lets go of what it held', async () => {
-    const socket = await open();
+  it('forwards data, holds it, and forwards what it held', async () => {
+    const socket = await openConnection();
     socket.write('a');
     expect(String(await once(socket, 'data'))).to.equal('a');
     forwarder.set('from-target', 'hold');
@@ -44,14 +44,14 @@
     socket.destroy();
   });
 
-  it('cuts what is open and refuses what comes after', async () => {
-    const socket = await open();
+  it('resets open connections and refuses new ones', async () => {
+    const socket = await openConnection();
     socket.write('a');
     await once(socket, 'data');
     forwarder.refuse(true);
     forwarder.cut();
     const [err] = (await once(socket, 'error')) as [NodeJS.ErrnoException];
     expect(err.code).to.equal('ECONNRESET');
-    await once(begin(), 'error');
+    await once(connectToForwarder(), 'error');
   });
 });
--- a/packages/lab/test/guarantees-page.test.ts
+++ b/packages/lab/test/guarantees-page.test.ts
@@ -10,10 +10,10 @@
   title: string;
 }
 
-const proofsOf = (page: string): Proof[] =>
+const findProofs = (page: string): Proof[] =>
   [...page.matchAll(PROOF)].map(([, file = '', title = '']) => ({ file, title }));
 
-const isThere = ({ file, title }: Proof): boolean => {
+const proofExists = ({ file, title }: Proof): boolean => {
   const path = join(repositoryRoot, 'packages', file);
   return existsSync(path) && readFileSync(path, 'utf8').includes(title);
 };
@@ -22,14 +22,16 @@
   const page = readFileSync(join(repositoryRoot, 'docs/GUARANTEES.md'), 'utf8');
   const rows = page.split('\n').filter((line) => /\| (proved|partial|not run) +\|/.test(line));
 
-  it('names proofs that exist', () => {
-    const missing = proofsOf(page).filter((proof) => !isThere(proof));
+  it('names tests that exist', () => {
+    const missing = findProofs(page).filter((proof) => !proofExists(proof));
     expect(missing).to.deep.equal([]);
   });
 
-  it('claims nothing as proved without a proof', () => {
+  it('names a test for every guarantee that it calls proved', () => {
     expect(rows.length).to.be.at.least(15);
-    const bare = rows.filter((row) => /\| proved +\|/.test(row) && proofsOf(row).length === 0);
-    expect(bare).to.deep.equal([]);
+    const unproved = rows.filter(
+      (row) => /\| proved +\|/.test(row) && findProofs(row).length === 0,
+    );
+    expect(unproved).to.deep.equal([]);
   });
 });
--- a/packages/lab/test/operating-page.test.ts
+++ b/packages/lab/test/operating-page.test.ts
@@ -2,7 +2,7 @@
 import { join } from 'node:path';
 import { expect } from 'chai';
 import { metricHelp } from '@plantaindrum/common';
-import { committedPage, currentPage } from '../src/docs/operating-page.js';
+import { readPage, renderPage } from '../src/docs/operating-page.js';
 import { repositoryRoot } from '../src/harness/child.js';
 
 const packages = join(repositoryRoot, 'packages');
@@ -21,7 +21,7 @@
 ];
 const METRIC = /metrics\s*\??\.(?:count|gauge|record)\(\s*'([a-z_]+)'/g;
 
-const sourcesOf = (name: string): string[] => {
+const readSources = (name: string): string[] => {
   const folder = join(packages, name, 'src');
   return readdirSync(folder, { recursive: true, encoding: 'utf8' })
     .filter((file) => file.endsWith('.ts'))
@@ -29,21 +29,23 @@
 };
 
 describe("the operators' page", () => {
-  it('has the tables that the catalogues of the code give (npm run docs)', async () => {
-    expect(committedPage()).to.equal(await currentPage());
+  it('has the tables that are generated from the code (npm run docs)', async () => {
+    expect(readPage()).to.equal(await renderPage());
   });
 
   it('explains every reason for which an entry makes no further attempt', () => {
-    const types = sourcesOf('requests').find((text) => text.includes('export type NoRetryReason'));
+    const types = readSources('requests').find((text) =>
+      text.includes('export type NoRetryReason'),
+    );
     const union = /export type NoRetryReason =([^;]+);/.exec(types ?? '')?.[1] ?? '';
     const reasons = [...union.matchAll(/'([a-z-]+)'/g)].map(([, reason]) => reason ?? '');
     expect(reasons).to.have.length.at.least(6);
-    expect(reasons.filter((reason) => !committedPage().includes(`\`${reason}\``))).to.be.empty;
+    expect(reasons.filter((reason) => !readPage().includes(`\`${reason}\``))).to.be.empty;
   });
 
   it('explains every metric that the code records', () => {
     const recorded = shipped
-      .flatMap(sourcesOf)
+      .flatMap(readSources)
       .flatMap((text) => [...text.matchAll(METRIC)].map(([, name]) => name ?? ''));
     const unexplained = recorded.filter((name) => !Object.hasOwn(metricHelp, name));
     expect(unexplained).to.deep.equal([]);
--- a/packages/lab/test/stopping.test.ts
+++ b/packages/lab/test/stopping.test.ts
@@ -15,9 +15,9 @@
   untilQuiet,
 } from '../src/experiments/drain-site.js';
 
-const WITHIN_MS = 20_000;
+const TIMEOUT_MS = 20_000;
 
-describe('stopping and dying under load, with real processes', () => {
+describe('stopped and suspended processes under load', () => {
   let site: Site;
   let probed: ProbedEntries;
   let load: Load;
@@ -26,7 +26,7 @@
   beforeEach(async () => {
     site = await startTwoDataCentres();
     probed = probeEntries(site.entries);
-    const durationMs = 3 * WITHIN_MS;
+    const durationMs = 3 * TIMEOUT_MS;
     load = startMixedLoad(probed.urls, { seed: 1, durationMs, run: 'test', scale: 1 });
     await until('the upstream has work', async () => (await dispatchedTo(site, model)) >= 5);
   });
@@ -42,13 +42,13 @@
     return load.finished;
   };
 
-  const notAnswered = (calls: LoadCall[]): unknown[] =>
+  const describeUnanswered = (calls: LoadCall[]): unknown[] =>
     calls
       .filter(({ result }) => result.outcome !== 'answered')
       .map(({ class: name, result }) => [name, result.outcome, result.reason]);
 
-  /** No answer is broken off in silence, and no call that may not be repeated ran twice. */
-  const expectHonest = async (calls: LoadCall[]): Promise<void> => {
+  /** Expects no broken or wrong answer, and no call run twice that may not be repeated. */
+  const expectTrueOutcomes = async (calls: LoadCall[]): Promise<void> => {
     const mayNotRepeat = (name: string) => name === 'bid-sheet-export' || name === 'title-check';
     const summary = summarize(calls, await readOracle(site), mayNotRepeat);
     expect(summary.sent).to.equal(calls.length);
@@ -58,35 +58,36 @@
   };
 
   // Operators stop a data centre while streams of some seconds are open there. Its entry fails
-  // readiness, the balancer moves callers on, agents finish what they hold: each caller has a whole
-  // answer, and the stop ends when nothing is in flight.
+  // readiness, the balancer sends callers to the other data centre, and agents finish their running
+  // calls. Every caller must get a complete answer before the stop ends.
   it('cuts nothing when a data centre is stopped', async () => {
     await setDataCentre(site, STOPPED, 'stopped');
-    expect(await untilQuiet(site)).to.be.lessThan(WITHIN_MS);
+    expect(await untilQuiet(site)).to.be.lessThan(TIMEOUT_MS);
     const calls = await endLoad();
-    expect(notAnswered(calls)).to.deep.equal([]);
-    await expectHonest(calls);
+    expect(describeUnanswered(calls)).to.deep.equal([]);
+    await expectTrueOutcomes(calls);
   });
 
-  // An agent gets SIGTERM and announces on its links that it leaves; the list goes on to show it as
-  // live. Its entries send nothing new there, what had not started goes elsewhere, the rest ends.
+  // An agent gets SIGTERM and announces on its links that it is leaving, while the VM list still shows
+  // it as live. Entries must send it no new calls, send calls that had not started to another upstream
+  // and get the answers of the rest.
   it('sends nothing new to a leaving upstream that the list still shows', async () => {
     const leaving = site.upstream(model).agent;
-    const exit = await leaving.stop(WITHIN_MS);
+    const exit = await leaving.stop(TIMEOUT_MS);
     const atExit = await dispatchedTo(site, model);
     const sentBefore = load.inFlight();
     await until('later calls have ended', () => load.inFlight() !== sentBefore);
     const calls = await endLoad();
     expect(exit).to.deep.equal({ code: 0, signal: null });
     expect(await dispatchedTo(site, model)).to.equal(atExit);
-    expect(notAnswered(calls)).to.deep.equal([]);
-    await expectHonest(calls);
+    expect(describeUnanswered(calls)).to.deep.equal([]);
+    await expectTrueOutcomes(calls);
   });
 
-  // An agent is frozen with requests in its hands. Its links stay open until heartbeats are missed;
-  // then its callers get an answer from elsewhere or an honest "unknown". It wakes long after, with
-  // calls that nobody waits for; none of them may run a second time.
-  it('answers honestly when an agent freezes, and again after it wakes', async () => {
+  // An agent is suspended while it holds requests. Its links stay open until heartbeats are missed;
+  // then its callers must get an answer from another upstream or "unknown". The agent is resumed with
+  // calls that nobody waits for any more; none of them may run a second time.
+  it('gives true outcomes when an agent is suspended, and after it is resumed', async () => {
     const { agent } = site.upstream(model);
     const isLinked = async (): Promise<boolean> => {
       const statuses = await Promise.all(site.entries.map(({ operators }) => operators.status()));
@@ -97,12 +98,12 @@
       );
     };
     agent.signal('SIGSTOP');
-    await until('its links are given up', async () => !(await isLinked()), WITHIN_MS);
+    await until('its links are closed', async () => !(await isLinked()), TIMEOUT_MS);
     agent.signal('SIGCONT');
-    await until('its links are back', isLinked, WITHIN_MS);
+    await until('its links are back', isLinked, TIMEOUT_MS);
     const calls = await endLoad();
     const others = calls.filter(({ result }) => !['answered', 'unknown'].includes(result.outcome));
-    expect(notAnswered(others)).to.deep.equal([]);
-    await expectHonest(calls);
+    expect(describeUnanswered(others)).to.deep.equal([]);
+    await expectTrueOutcomes(calls);
   });
 });
