--- a/packages/lab/src/emulator/content.ts
+++ b/packages/lab/src/emulator/content.ts
@@ -1,25 +1,25 @@
-/** Which experts the content of requests chooses, and how that shifts over a day. */
+/** Popularity of experts by the topic of requests, and its shifts over a day. */
 
 import type { Random } from '@plantaindrum/common';
 
 /** Popularity of experts by topic. */
 export interface Content {
-  /** A topic for a new request. */
+  /** Draws the topic of a new request. */
   drawTopic(): number;
-  /** Share of a topic's picks that goes to each expert, set by set. */
+  /** Fraction of a topic's expert selections that goes to each expert, by set. */
   shares(topic: number): readonly (readonly number[])[];
-  /** Other topics come into demand: this share of the requests moves to them. */
+  /** Moves this fraction of the demand to newly drawn topics, and of the common popularity to new experts. */
   shift(share: number): void;
 }
 
-/** Shape of a group's experts, and how uneven their popularity is. */
+/** Number of a group's experts and topics, and the unevenness of the experts' popularity. */
 export interface ContentShape {
   sets: number;
   experts: number;
   topics: number;
-  /** Exponent of popularity by place: 0 for even. */
+  /** Exponent by which popularity falls with an expert's rank of popularity; 0 means even. */
   skew: number;
-  /** Part of each topic's picks that all topics have in common. */
+  /** Fraction of each topic's popularity that all topics have in common. */
   common: number;
 }
 
@@ -37,42 +37,44 @@
   return order;
 };
 
-/** Popularity that falls with an expert's place in a random order. */
+/** Draws a popularity that falls with an expert's position in a random order. */
 const drawShares = ({ experts, skew }: ContentShape, random: Random): number[] => {
-  const places = shuffled(experts, random);
-  return normalise(places.map((place) => 1 / (1 + place) ** skew));
+  const popularityRanks = shuffled(experts, random);
+  return normalise(popularityRanks.map((popularityRank) => 1 / (1 + popularityRank) ** skew));
 };
 
-/** Creates a day's content. */
+/** Creates the content of one day. */
 export const createContent = (shape: ContentShape, random: Random): Content => {
   const { sets, topics, common } = shape;
   const drawSets = (): number[][] => Array.from({ length: sets }, () => drawShares(shape, random));
-  const own = Array.from({ length: topics }, drawSets);
-  let shared = drawSets();
+  const ownShares = Array.from({ length: topics }, drawSets);
+  let commonShares = drawSets();
 
-  /** `part` of one popularity and the rest of the other. */
-  const mix = (a: readonly number[][], b: readonly number[][], part: number): number[][] =>
-    a.map((set, at) => set.map((share, e) => part * share + (1 - part) * (b[at]?.[e] ?? 0)));
-  const drawDemand = (): number[] => normalise(own.map(() => random() ** 3));
-  let byTopic = own.map((sharesOfTopic) => mix(shared, sharesOfTopic, common));
+  /** Mixes two popularities: `fraction` of the first and the rest of the second. */
+  const mix = (a: readonly number[][], b: readonly number[][], fraction: number): number[][] =>
+    a.map((set, at) =>
+      set.map((share, e) => fraction * share + (1 - fraction) * (b[at]?.[e] ?? 0)),
+    );
+  const drawDemand = (): number[] => normalise(ownShares.map(() => random() ** 3));
+  let byTopic = ownShares.map((sharesOfTopic) => mix(commonShares, sharesOfTopic, common));
   let demand = drawDemand();
 
   return {
     drawTopic: () => {
-      let left = random();
+      let remaining = random();
       const topic = demand.findIndex((share) => {
-        left -= share;
-        return left <= 0;
+        remaining -= share;
+        return remaining <= 0;
       });
       return Math.max(0, topic);
     },
     shares: (topic) => byTopic[topic] ?? [],
     shift: (share) => {
-      const next = drawDemand();
-      demand = demand.map((n, at) => (1 - share) * n + share * (next[at] ?? 0));
-      // What all topics have in common moves too, or balance once found would hold all day.
-      shared = mix(drawSets(), shared, share);
-      byTopic = own.map((sharesOfTopic) => mix(shared, sharesOfTopic, common));
+      const newDemand = drawDemand();
+      demand = demand.map((n, at) => (1 - share) * n + share * (newDemand[at] ?? 0));
+      // The common popularity shifts too; otherwise a balanced map would stay balanced all day.
+      commonShares = mix(drawSets(), commonShares, share);
+      byTopic = ownShares.map((sharesOfTopic) => mix(commonShares, sharesOfTopic, common));
     },
   };
 };
--- a/packages/lab/src/emulator/coordinate.ts
+++ b/packages/lab/src/emulator/coordinate.ts
@@ -1,4 +1,4 @@
-/** The product's coordinator before an emulated group: orders take their time, some come late. */
+/** Runs the real coordinator on an emulated group, with delayed and late orders. */
 
 import { createMetrics, silentEventLog, sleep } from '@plantaindrum/common';
 import type { ManualClock, Random } from '@plantaindrum/common';
@@ -8,38 +8,39 @@
 import type { EngineGroup } from './engine-types.js';
 import { TARGET_PAUSE_MS } from './targets.js';
 
-/** An order and its answer where agents are idle and links wide, in ms. */
-const ORDER_MS = 4;
-const LATE_MS = 3_000;
-/** Time beyond that after which an order counts as unanswered, in ms. */
-const UNANSWERED_MS = 26;
-const UPDATE_MS = 80;
+/** Round trip of an order when agents are idle and links fast. */
+const DEFAULT_ORDER_MS = 4;
+/** Maximum delay until a late order is carried out. */
+const MAX_LATE_ORDER_MS = 3_000;
+/** Time beyond the round trip after which an order counts as unanswered. */
+const ORDER_TIMEOUT_MARGIN_MS = 26;
+const TELEMETRY_INTERVAL_MS = 80;
 
-/** Starts the product's coordinator on a group; every rank tells it what it reads. */
+/** Starts the coordinator on a group; every rank regularly sends it its report and selection counts. */
 export const startCoordinator = (
   spec: DaySpec,
   group: EngineGroup,
   clock: ManualClock,
   random: Random,
 ) => {
-  const orderMs = spec.orderMs ?? ORDER_MS;
+  const orderMs = spec.orderMs ?? DEFAULT_ORDER_MS;
   const isReachable = (rank: number): boolean => {
     const { fromMs = Infinity, toMs = 0 } = spec.unreachable ?? {};
     const now = clock.monotonic();
     return rank < spec.ranks - 1 || now < fromMs || now >= toMs;
   };
-  const order = async (rank: number, given: RankOrder): Promise<OrderOutcome> => {
+  const order = async (rank: number, rankOrder: RankOrder): Promise<OrderOutcome> => {
     if (!isReachable(rank)) {
-      await sleep(clock, orderMs + UNANSWERED_MS);
+      await sleep(clock, orderMs + ORDER_TIMEOUT_MARGIN_MS);
       return 'no-answer';
     }
     if (random() < (spec.lateOrders ?? 0)) {
-      clock.after(random() * LATE_MS, () => group.order(rank, given));
+      clock.after(random() * MAX_LATE_ORDER_MS, () => group.order(rank, rankOrder));
       await sleep(clock, orderMs);
       return 'no-answer';
     }
     await sleep(clock, orderMs / 2);
-    const outcome = group.order(rank, given);
+    const outcome = group.order(rank, rankOrder);
     await sleep(clock, orderMs / 2);
     return outcome;
   };
@@ -54,14 +55,14 @@
   };
   const { sets, experts } = spec.content;
   const { places, spare, copyMs } = spec;
-  const held = (rank: number): RankPlacement => {
+  const getPlacement = (rank: number): RankPlacement => {
     const { version, placement } = group.placement();
     return { epoch: 1, version, experts: placement.map((set) => set[rank] ?? []) };
   };
   const port = {
     ...oneByOne(ranks, clock),
-    placements: async (asked: readonly number[]) =>
-      new Map(asked.map((rank) => [rank, held(rank)] as const)),
+    placements: async (requestedRanks: readonly number[]) =>
+      new Map(requestedRanks.map((rank) => [rank, getPlacement(rank)] as const)),
     noteMapInUse: () => {},
   };
   const coordinator = createCoordinator({
@@ -72,21 +73,21 @@
     isLowest: () => true,
     untilLowest: async () => {},
     knownPlacement: () => undefined,
-    newsEveryMs: () => UPDATE_MS,
-    orderOwnFromAfar: (given) => order(0, given),
+    newsEveryMs: () => TELEMETRY_INTERVAL_MS,
+    orderOwnFromAfar: (rankOrder) => order(0, rankOrder),
     clock,
     random,
     metrics: createMetrics(),
     log: silentEventLog,
   });
-  const before = Array.from({ length: spec.ranks }, (_, rank) => [...group.counts(rank)]);
-  const update = (rank: number): void => {
+  const previousCounts = Array.from({ length: spec.ranks }, (_, rank) => [...group.counts(rank)]);
+  const sendTelemetry = (rank: number): void => {
     const counts = [...group.counts(rank)];
-    const picks = counts.map((n, at) => n - (before[rank]?.[at] ?? 0));
-    before[rank] = counts;
-    if (isReachable(rank)) coordinator.onUpdate({ report: group.report(rank), picks });
-    clock.after(UPDATE_MS, () => update(rank));
+    const newCounts = counts.map((n, at) => n - (previousCounts[rank]?.[at] ?? 0));
+    previousCounts[rank] = counts;
+    if (isReachable(rank)) coordinator.onUpdate({ report: group.report(rank), picks: newCounts });
+    clock.after(TELEMETRY_INTERVAL_MS, () => sendTelemetry(rank));
   };
-  for (let rank = 0; rank < spec.ranks; rank += 1) clock.after(rank, () => update(rank));
+  for (let rank = 0; rank < spec.ranks; rank += 1) clock.after(rank, () => sendTelemetry(rank));
   return coordinator;
 };
--- a/packages/lab/src/emulator/day-types.ts
+++ b/packages/lab/src/emulator/day-types.ts
@@ -1,4 +1,4 @@
-/** What an emulated day is made of, and what it comes to. */
+/** Specification and figures of an emulated day. */
 
 import type { ManualClock } from '@plantaindrum/common';
 import type { PassTimes, Upstream } from '@plantaindrum/gateway';
@@ -6,76 +6,80 @@
 import type { ContentShape } from './content.js';
 import type { EngineTimes, GroupFigures } from './engine-types.js';
 
-/** A stream as its caller sees it. */
+/** A stream that a caller requests. */
 export interface StreamRequest {
   promptTokens: number;
   events: number;
+  /** Whether the caller was refused before and has returned. */
   isReturn: boolean;
 }
 
-/** Whether a stream is taken now. */
+/** Decides whether a stream is admitted now. */
 export type AdmitStream = (request: StreamRequest, upstreams: readonly Upstream[]) => boolean;
 
-/** What an admission policy may use. */
+/** Inputs of an admission policy. */
 export interface AdmissionTools {
   clock: ManualClock;
+  /** Slots of all engines together. */
   slots: number;
-  /** What the engines state of their passes. */
+  /** Pass times that the engines declare. */
   passTimes: PassTimes;
 }
 
-/** An admission policy; told of each pause between two events and of each stream's end. */
+/** An admission policy; it receives each pause between two events and the end of each stream. */
 export interface AdmissionPolicy {
   admit: AdmitStream;
-  notePause(ms: number): void;
-  noteEnd(request: StreamRequest): void;
+  recordPause(ms: number): void;
+  recordEnd(request: StreamRequest): void;
 }
 
-/** One day. */
+/** Specification of an emulated day. */
 export interface DaySpec {
   seed: number;
   lengthMs: number;
   ranks: number;
+  /** Replica slots of a rank, in each set. */
   places: number;
   spare: number;
+  /** Time to copy one expert. */
   copyMs: number;
   content: ContentShape;
   times: EngineTimes;
-  /** Streams that begin each second, and what they ask for on average. */
+  /** Streams that start each second, and their mean sizes. */
   perSecond: number;
   promptTokens: number;
   events: number;
-  /** Other experts come into demand this often, for this share of the picks. */
+  /** Interval of the shifts of popularity, and the fraction of the demand that each shift moves. */
   shiftEveryMs: number;
   shiftShare: number;
-  /** Undefined: the map is left as it is. */
+  /** Measure that the balancer weighs; `undefined` keeps the initial map. */
   weighs: Weighs | undefined;
   policy: (tools: AdmissionTools) => AdmissionPolicy;
-  /** Time of an order to all ranks with its answers, in ms; 4 unless said otherwise. */
+  /** Round trip of an order to a rank, 4 ms by default. */
   orderMs?: number;
-  /** Part of the orders that are answered by nobody and carried out late. */
+  /** Fraction of the orders that get no answer and are carried out late. */
   lateOrders?: number;
-  /** Ranks that are slow for a while. */
+  /** Ranks that are slow for some time, by `factor`. */
   stragglers?: readonly { atMs: number; rank: number; factor: number; forMs: number }[];
-  /** The last rank takes part in passes and can't be reached for this time. */
+  /** Time during which the last rank takes part in passes but is unreachable. */
   unreachable?: { fromMs: number; toMs: number };
-  /** Streams stay at a slow rank, and new ones are sent there. */
+  /** Whether slow ranks keep their streams and get new ones. */
   keepsSlowRanks?: boolean;
-  /** Times the usual traffic between two moments. */
+  /** Period in which the traffic is multiplied by `factor`. */
   burst?: { fromMs: number; toMs: number; factor: number };
 }
 
-/** What a day came to. */
+/** Figures of an emulated day. */
 export interface DayFigures extends GroupFigures {
   streams: number;
   onTime: number;
   late: number;
-  /** Of the late ones, those whose first event was late. */
+  /** Late streams whose first event was late. */
   lateFirst: number;
   refused: number;
-  /** Part of the worth of all streams that was earned; a late one earns half. */
+  /** Fraction of the worth of all streams that was earned; a late stream earns half. */
   worth: number;
-  /** From a shift to the pass that uses the next map, in ms. */
+  /** Time from a shift to the first pass with the next map. */
   shiftToMapMedianMs: number;
   shiftToMapP95Ms: number;
 }
--- a/packages/lab/src/emulator/day.ts
+++ b/packages/lab/src/emulator/day.ts
@@ -1,4 +1,4 @@
-/** One seeded day of a group: callers, admission, engines and the product's coordinator. */
+/** Emulates a seeded day of a group: callers, admission, engines and the real coordinator. */
 
 import { createManualClock, createSeededRandom } from '@plantaindrum/common';
 import type { ManualClock, Random } from '@plantaindrum/common';
@@ -12,33 +12,34 @@
 import type { EngineGroup, EngineRequest } from './engine-types.js';
 import { TARGET_FIRST_MS, TARGET_PAUSE_MS } from './targets.js';
 
-const LATE_WORTH = 0.5;
-/** A refused caller comes back once, after about this long, in ms. */
-const RETURN_MS = 300;
-/** From a change of pace until the entries know of it, and how often it is told again, in ms. */
-const PACE_TOLD_MS = 130;
-const PACE_AGAIN_MS = 500;
-/** Time that a day goes on after its last arrival, in ms. */
-const TAIL_MS = 3_000;
-const STEP_MS = 20;
+/** Worth of a late stream; one on time is worth 1. */
+const LATE_STREAM_WORTH = 0.5;
+/** Mean time after which a refused caller returns, once. */
+const RETURN_DELAY_MS = 300;
+/** Delay until the entries know of a slowdown, and interval in which it is reported again. */
+const SLOWDOWN_REPORT_DELAY_MS = 130;
+const SLOWDOWN_REPORT_INTERVAL_MS = 500;
+/** Time that a day continues after its last arrival. */
+const DRAIN_MS = 3_000;
+const CLOCK_STEP_MS = 20;
 
-/** Log-normal around a mean of 1. */
-const drawSpread = (random: Random): number => {
+/** Draws from a log-normal distribution with a mean of 1. */
+const drawLogNormal = (random: Random): number => {
   const sigma = 0.8;
   return Math.exp(sigma * normal(random) - (sigma * sigma) / 2);
 };
 
-/** Watches how long the group takes to change its map after a shift. */
-const createShiftWatch = (group: EngineGroup, clock: ManualClock) => {
+/** Measures the time from a shift of popularity until the group changes its map. */
+const createShiftTimer = (group: EngineGroup, clock: ManualClock) => {
   const times: number[] = [];
   let shiftedAt: number | undefined;
   let mapAtShift = 0;
   return {
-    noteShift: () => {
+    recordShift: () => {
       shiftedAt = clock.monotonic();
       mapAtShift = group.report(0).map;
     },
-    look: () => {
+    checkMap: () => {
       if (shiftedAt === undefined || group.report(0).map === mapAtShift) return;
       times.push(clock.monotonic() - shiftedAt);
       shiftedAt = undefined;
@@ -47,7 +48,7 @@
   };
 };
 
-/** Plays a day; the same specification gives the same figures. */
+/** Emulates a day; the same specification gives the same figures. */
 export const playDay = async (spec: DaySpec): Promise<DayFigures> => {
   const clock = createManualClock();
   const random = createSeededRandom(spec.seed);
@@ -67,64 +68,66 @@
   });
   const passTimes = { stepMs: times.stepMs, perStreamMs: times.perSeqMs };
   const policy = spec.policy({ clock, slots: times.slots * ranks, passTimes });
-  const watch = createShiftWatch(group, clock);
-  /** Rank that each stream is at. */
-  const at = new Map<EngineRequest, number>();
+  const shiftTimer = createShiftTimer(group, clock);
+  /** Rank that serves each stream. */
+  const ranksByRequest = new Map<EngineRequest, number>();
   const counts = { streams: 0, onTime: 0, late: 0, lateFirst: 0, refused: 0 };
 
-  const place = (request: EngineRequest, written = 0): void => {
-    const used = new Set(spec.keepsSlowRanks ? upstreams : withoutSlow(upstreams));
-    const costs = upstreams.map((each) => (used.has(each) ? each.costOfNext() : Infinity));
-    const rank = costs.indexOf(Math.min(...costs));
+  const assignRank = (request: EngineRequest, written = 0): void => {
+    const candidates = new Set(spec.keepsSlowRanks ? upstreams : withoutSlow(upstreams));
+    const loadScores = upstreams.map((upstream) =>
+      candidates.has(upstream) ? upstream.costOfNext() : Infinity,
+    );
+    const rank = loadScores.indexOf(Math.min(...loadScores));
     upstreams[rank]?.begin();
-    at.set(request, rank);
+    ranksByRequest.set(request, rank);
     group.submit(rank, request, written);
   };
-  const leave = (rank: number): void => {
+  const moveStreams = (rank: number): void => {
     group.withdraw(rank).forEach(({ request, written }) => {
       upstreams[rank]?.end();
-      place(request, written);
+      assignRank(request, written);
     });
   };
 
   const serve = (request: StreamRequest, arrivedAt: number): void => {
     let lastAt = arrivedAt;
     let isLate = false;
-    const asked: EngineRequest = {
+    const engineRequest: EngineRequest = {
       topic: content.drawTopic(),
       promptTokens: request.promptTokens,
       events: request.events,
       onEvent: (n) => {
         const gap = clock.monotonic() - lastAt;
         lastAt = clock.monotonic();
-        if (n > 1) policy.notePause(gap);
+        if (n > 1) policy.recordPause(gap);
         if (gap <= (n === 1 ? TARGET_FIRST_MS : TARGET_PAUSE_MS)) return;
         if (n === 1) counts.lateFirst += 1;
         isLate = true;
       },
       onEnd: () => {
-        upstreams[at.get(asked) ?? -1]?.end();
-        at.delete(asked);
-        policy.noteEnd(request);
+        upstreams[ranksByRequest.get(engineRequest) ?? -1]?.end();
+        ranksByRequest.delete(engineRequest);
+        policy.recordEnd(request);
         if (isLate) counts.late += 1;
         else counts.onTime += 1;
       },
     };
-    place(asked);
+    assignRank(engineRequest);
   };
 
   const arrive = (request: StreamRequest, arrivedAt: number): void => {
     if (policy.admit(request, upstreams)) serve(request, arrivedAt);
     else if (request.isReturn) counts.refused += 1;
     else {
-      const backIn = RETURN_MS * (0.5 + random());
+      const backIn = RETURN_DELAY_MS * (0.5 + random());
       clock.after(backIn, () => arrive({ ...request, isReturn: true }, arrivedAt));
     }
   };
 
-  const draw = (): StreamRequest => ({
-    promptTokens: Math.max(1, Math.round(spec.promptTokens * drawSpread(random))),
-    events: Math.max(1, Math.round(spec.events * drawSpread(random))),
+  const drawRequest = (): StreamRequest => ({
+    promptTokens: Math.max(1, Math.round(spec.promptTokens * drawLogNormal(random))),
+    events: Math.max(1, Math.round(spec.events * drawLogNormal(random))),
     isReturn: false,
   });
   const nextArrival = (): void => {
@@ -136,7 +139,7 @@
     const gapMs = (-Math.log(1 - random()) * 1_000) / rate;
     clock.after(gapMs, () => {
       counts.streams += 1;
-      arrive(draw(), clock.monotonic());
+      arrive(drawRequest(), clock.monotonic());
       nextArrival();
     });
   };
@@ -144,37 +147,37 @@
 
   const shift = (): void => {
     content.shift(spec.shiftShare);
-    watch.noteShift();
+    shiftTimer.recordShift();
     clock.after(spec.shiftEveryMs, shift);
   };
   clock.after(spec.shiftEveryMs, shift);
-  const tellPace = (rank: number, factor: number): void => {
+  const applySlowdown = (rank: number, factor: number): void => {
     group.slow(rank, factor);
-    clock.after(PACE_TOLD_MS, () => {
+    clock.after(SLOWDOWN_REPORT_DELAY_MS, () => {
       upstreams[rank]?.notePace(factor);
-      if (factor > 1 && !spec.keepsSlowRanks) leave(rank);
+      if (factor > 1 && !spec.keepsSlowRanks) moveStreams(rank);
     });
   };
   spec.stragglers?.forEach(({ atMs, rank, factor, forMs }) => {
-    // Told again while it lasts, as agents do: a pace is not believed for ever.
-    for (let told = 0; told < forMs; told += PACE_AGAIN_MS) {
-      clock.after(atMs + told, () => tellPace(rank, factor));
+    // Reported repeatedly, as agents do, because a reported slowdown expires.
+    for (let offsetMs = 0; offsetMs < forMs; offsetMs += SLOWDOWN_REPORT_INTERVAL_MS) {
+      clock.after(atMs + offsetMs, () => applySlowdown(rank, factor));
     }
-    clock.after(atMs + forMs, () => tellPace(rank, 1));
+    clock.after(atMs + forMs, () => applySlowdown(rank, 1));
   });
 
-  while (clock.monotonic() < spec.lengthMs + TAIL_MS) {
-    await clock.advance(STEP_MS);
-    watch.look();
+  while (clock.monotonic() < spec.lengthMs + DRAIN_MS) {
+    await clock.advance(CLOCK_STEP_MS);
+    shiftTimer.checkMap();
   }
   coordinator?.close();
   group.close();
-  const earned = counts.onTime + LATE_WORTH * counts.late;
+  const earnedWorth = counts.onTime + LATE_STREAM_WORTH * counts.late;
   return {
     ...counts,
-    worth: earned / Math.max(1, counts.streams),
-    shiftToMapMedianMs: Math.round(median(watch.times)),
-    shiftToMapP95Ms: Math.round(percentile(watch.times, 0.95)),
+    worth: earnedWorth / Math.max(1, counts.streams),
+    shiftToMapMedianMs: Math.round(median(shiftTimer.times)),
+    shiftToMapP95Ms: Math.round(percentile(shiftTimer.times, 0.95)),
     ...group.figures(),
   };
 };
--- a/packages/lab/src/emulator/engine-group.ts
+++ b/packages/lab/src/emulator/engine-group.ts
@@ -1,22 +1,22 @@
-/** A group of engines that begins each pass together; its passes take as long as the users say. */
+/** Emulates a group of engines that start each pass together, with the pass times of the users' protocol. */
 
 import type { OrderOutcome, Placement, RankOrder } from '@plantaindrum/rank-groups';
 import { judgeRankOrder } from '@plantaindrum/stand-ins';
 import type { EngineGroup, EngineGroupOptions, EngineRequest } from './engine-types.js';
-import { passMs } from './pass-time.js';
+import { computePassMs } from './pass-time.js';
 import type { RankWork } from './pass-time.js';
 
-interface Running {
+interface ActiveRequest {
   request: EngineRequest;
-  /** Prompt tokens that are still to be read. */
+  /** Prompt tokens that are still to be prefilled. */
   read: number;
-  /** Events that have been made. */
+  /** Events that have been generated. */
   written: number;
 }
 
 interface Rank {
-  running: Running[];
-  waiting: Running[];
+  running: ActiveRequest[];
+  waiting: ActiveRequest[];
   counts: number[];
   pace: number;
   map: number;
@@ -28,27 +28,37 @@
 }
 
 const EPOCH = 1;
-/** An idle group looks for work this often, in ms. */
-const IDLE_MS = 2;
+/** Interval in which an idle group checks for work. */
+const IDLE_POLL_MS = 2;
 
 const sum = (values: readonly number[]): number => values.reduce((total, n) => total + n, 0);
 
-/** Map 0 of a group: experts in turn. */
-export const inTurn = (sets: number, ranks: number, experts: number): Placement =>
+/** Returns map 0 of a group, which assigns experts to ranks round-robin. */
+export const createRoundRobinPlacement = (
+  sets: number,
+  ranks: number,
+  experts: number,
+): Placement =>
   Array.from({ length: sets }, () =>
     Array.from({ length: ranks }, (_, rank) =>
       Array.from({ length: experts }, (__, expert) => expert).filter((e) => e % ranks === rank),
     ),
   );
 
-/** Creates a group that is open and has map 0. */
+/** Creates a group that is open and uses map 0. */
 export const createEngineGroup = (options: EngineGroupOptions): EngineGroup => {
   const { sets, experts, times, content, clock } = options;
   const size = sets * experts;
-  const first = inTurn(sets, options.ranks, experts);
+  const initialPlacement = createRoundRobinPlacement(sets, options.ranks, experts);
   const ranks = Array.from({ length: options.ranks }, (): Rank => ({
     ...{ running: [], waiting: [], counts: new Array<number>(size).fill(0), pace: 1, map: 0 },
-    ...{ prepared: undefined, highest: 0, armed: undefined, held: undefined, placement: first },
+    ...{
+      prepared: undefined,
+      highest: 0,
+      armed: undefined,
+      held: undefined,
+      placement: initialPlacement,
+    },
   }));
   let step = 0;
   let stopTimer = (): void => {};
@@ -59,8 +69,8 @@
     rank.running.push(...rank.waiting.splice(0, Math.max(0, room)));
   };
 
-  /** Prompt tokens that a rank reads in this pass, and what its own work takes. */
-  const workOf = (rank: Rank): RankWork & { read: number } => {
+  /** Computes the prompt tokens that a rank prefills in this pass, and the times of its work. */
+  const computeWork = (rank: Rank): RankWork & { read: number } => {
     const writers = rank.running.filter(({ read }) => read === 0);
     const steps = writers.length > 0 ? times.stride : 1;
     const readers = rank.running.filter(({ read }) => read > 0);
@@ -73,7 +83,7 @@
     return { read, stepsMs, tokensMs, pace: rank.pace };
   };
 
-  const pickExperts = (rank: Rank, entry: Running, tokens: number): void => {
+  const countSelections = (rank: Rank, entry: ActiveRequest, tokens: number): void => {
     const { counts } = rank;
     const shares = content.shares(entry.request.topic);
     const perSet = (tokens * times.picksPerToken) / sets;
@@ -85,9 +95,9 @@
     );
   };
 
-  /** Most loaded rank over the mean, averaged over the sets, for the tokens of this pass. */
-  const skewOf = (tokensByTopic: ReadonlyMap<number, number>): number => {
-    const placement = ranks[0]?.placement ?? first;
+  /** Load of the most loaded rank relative to the mean, averaged over the sets, for this pass's tokens. */
+  const computeSkew = (tokensByTopic: ReadonlyMap<number, number>): number => {
+    const placement = ranks[0]?.placement ?? initialPlacement;
     const perSet = placement.map((held, set) => {
       const demand = new Array<number>(experts).fill(0);
       tokensByTopic.forEach((tokens, topic) =>
@@ -95,12 +105,14 @@
           demand[expert] = (demand[expert] ?? 0) + tokens * share;
         }),
       );
-      const hosts = new Array<number>(experts).fill(0);
+      const replicaCounts = new Array<number>(experts).fill(0);
       held.flat().forEach((expert) => {
-        hosts[expert] = (hosts[expert] ?? 0) + 1;
+        replicaCounts[expert] = (replicaCounts[expert] ?? 0) + 1;
       });
       const loads = held.map((own, at) => {
-        const parts = own.map((expert) => (demand[expert] ?? 0) / Math.max(1, hosts[expert] ?? 1));
+        const parts = own.map(
+          (expert) => (demand[expert] ?? 0) / Math.max(1, replicaCounts[expert] ?? 1),
+        );
         return sum(parts) * (ranks[at]?.pace ?? 1);
       });
       const mean = sum(demand) / loads.length;
@@ -118,38 +130,38 @@
     if (new Set(ranks.map(({ map }) => map)).size > 1) totals.mixed += 1;
   };
 
-  /** Carries a request on by one pass in which this many prompt tokens may be read for it. */
-  const carryOn = (rank: Rank, entry: Running, readable: number): Running => {
+  /** Advances a request by one pass in which up to `readable` of its prompt tokens may be prefilled. */
+  const advanceRequest = (rank: Rank, entry: ActiveRequest, readable: number): ActiveRequest => {
     const taken = Math.min(readable, entry.read);
     const read = entry.read - taken;
-    pickExperts(rank, entry, entry.read > 0 ? taken : times.stride);
+    countSelections(rank, entry, entry.read > 0 ? taken : times.stride);
     if (read > 0) return { ...entry, read };
     entry.request.onEvent(entry.written + 1);
     return { ...entry, read, written: entry.written + 1 };
   };
 
-  const advance = (rank: Rank, read: number): void => {
-    let left = read;
+  const advanceRank = (rank: Rank, read: number): void => {
+    let remaining = read;
     const after = rank.running.map((entry) => {
-      const next = carryOn(rank, entry, left);
-      left -= entry.read - next.read;
+      const next = advanceRequest(rank, entry, remaining);
+      remaining -= entry.read - next.read;
       return next;
     });
-    const isDone = ({ written, request }: Running): boolean => written >= request.events;
+    const isDone = ({ written, request }: ActiveRequest): boolean => written >= request.events;
     Object.assign(rank, { running: after.filter((entry) => !isDone(entry)) });
     after.filter(isDone).forEach(({ request }) => request.onEnd());
   };
 
-  const pass = (): void => {
+  const runPass = (): void => {
     ranks.forEach(admit);
     const isIdle = ranks.every(({ running }) => running.length === 0);
     if (isIdle || ranks.some(({ held }) => held === step + 1)) {
-      stopTimer = clock.after(IDLE_MS, pass);
+      stopTimer = clock.after(IDLE_POLL_MS, runPass);
       return;
     }
     step += 1;
     switchMaps();
-    const works = ranks.map(workOf);
+    const works = ranks.map(computeWork);
     const tokensByTopic = new Map<number, number>();
     ranks.forEach((rank) =>
       rank.running.forEach(({ request, read }) => {
@@ -157,24 +169,24 @@
         tokensByTopic.set(request.topic, (tokensByTopic.get(request.topic) ?? 0) + tokens);
       }),
     );
-    const skew = skewOf(tokensByTopic);
+    const skew = computeSkew(tokensByTopic);
     const now = clock.monotonic();
     const isCopying = ranks.some(({ prepared }) => prepared && prepared.readyAt > now);
-    const ms = passMs(works, times.expertShare, skew) * (isCopying ? times.copyFactor : 1);
+    const ms = computePassMs(works, times.expertShare, skew) * (isCopying ? times.copyFactor : 1);
     totals.passes += 1;
     totals.ms += ms;
     totals.skew += skew;
     stopTimer = clock.after(ms, () => {
-      ranks.forEach((rank, at) => advance(rank, works[at]?.read ?? 0));
-      pass();
+      ranks.forEach((rank, at) => advanceRank(rank, works[at]?.read ?? 0));
+      runPass();
     });
   };
-  stopTimer = clock.after(IDLE_MS, pass);
+  stopTimer = clock.after(IDLE_POLL_MS, runPass);
 
   const isCopied = ({ prepared }: Rank): boolean =>
     prepared !== undefined && prepared.readyAt <= clock.monotonic();
 
-  const beginCopying = (rank: Rank, at: number, version: number, placement: Placement): void => {
+  const startCopying = (rank: Rank, at: number, version: number, placement: Placement): void => {
     const copies = sum(
       placement.map((held, set) => {
         const before = new Set(rank.placement[set]?.[at]);
@@ -186,16 +198,16 @@
     Object.assign(rank, { prepared: { version, placement, readyAt } });
   };
 
-  const order = (at: number, given: RankOrder): OrderOutcome => {
+  const order = (at: number, rankOrder: RankOrder): OrderOutcome => {
     const rank = ranks[at];
     if (!rank) return 'refused';
     const prepared = rank.prepared?.version;
     const state = { ...rank, epoch: EPOCH, step, prepared, isCopied: isCopied(rank) };
-    const { outcome, change } = judgeRankOrder(state, given);
-    // What is prepared has a map and a time beside its version.
+    const { outcome, change } = judgeRankOrder(state, rankOrder);
+    // `change` holds only the version of the prepared map; the rank also keeps its placement and time.
     Object.assign(rank, change, { prepared: rank.prepared });
-    if (outcome === 'begun' && given.op === 'prepare') {
-      beginCopying(rank, at, given.version, given.placement);
+    if (outcome === 'begun' && rankOrder.op === 'prepare') {
+      startCopying(rank, at, rankOrder.version, rankOrder.placement);
     }
     return outcome === 'refused' ? 'refused' : 'done';
   };
@@ -233,7 +245,10 @@
       };
     },
     counts: (at) => ranks[at]?.counts ?? [],
-    placement: () => ({ version: ranks[0]?.map ?? 0, placement: ranks[0]?.placement ?? first }),
+    placement: () => ({
+      version: ranks[0]?.map ?? 0,
+      placement: ranks[0]?.placement ?? initialPlacement,
+    }),
     order,
     slow: (at, factor) => {
       const rank = ranks[at];
--- a/packages/lab/src/emulator/engine-types.ts
+++ b/packages/lab/src/emulator/engine-types.ts
@@ -1,25 +1,28 @@
-/** What an emulated group of engines is given, and what it shows. */
+/** Types of the emulated engine group. */
 
 import type { ManualClock, Random } from '@plantaindrum/common';
 import type { OrderOutcome, Placement, RankOrder, RankReport } from '@plantaindrum/rank-groups';
 import type { Content } from './content.js';
 
-/** Times and sizes of one engine, as the users' sheet gives them. */
+/** Times and sizes of one engine, from the users' specification. */
 export interface EngineTimes {
+  /** Requests that run at the same time. */
   slots: number;
   stepMs: number;
+  /** Additional time of a step for each request that generates tokens. */
   perSeqMs: number;
+  /** Additional time of a step for each 1000 prompt tokens of these requests. */
   contextMsPerK: number;
   prefillTokensPerMs: number;
-  /** Prompt tokens that one step reads at the most. */
+  /** Maximum number of prompt tokens that one step prefills. */
   chunk: number;
-  /** Steps of a pass while anything is written; an event holds this many tokens. */
+  /** Steps of a pass in which tokens are generated; also the number of tokens of an event. */
   stride: number;
-  /** Part of the work that goes to experts. */
+  /** Fraction of the work for tokens that experts do. */
   expertShare: number;
-  /** Experts that a token chooses, over all sets. */
+  /** Experts that a token selects, over all sets. */
   picksPerToken: number;
-  /** Passes take this much longer while a rank copies. */
+  /** Factor for the pass time while a rank copies experts. */
   copyFactor: number;
 }
 
@@ -28,7 +31,7 @@
   topic: number;
   promptTokens: number;
   events: number;
-  /** Told of each event, with its number from 1. */
+  /** Called for each event, with its number from 1. */
   onEvent: (n: number) => void;
   onEnd: () => void;
 }
@@ -47,27 +50,27 @@
 
 /** A running group. */
 export interface EngineGroup {
-  /** Gives a rank a request, of which this many events have been made elsewhere. */
+  /** Submits a request to a rank; other ranks have generated `written` of its events. */
   submit(rank: number, request: EngineRequest, written?: number): void;
-  /** Takes all requests from a rank, with the events that each has made. */
+  /** Removes all requests from a rank and returns them with the number of their generated events. */
   withdraw(rank: number): { request: EngineRequest; written: number }[];
-  /** Requests running and waiting at a rank. */
+  /** Number of requests that run or wait at a rank. */
   load(rank: number): number;
   report(rank: number): RankReport;
   counts(rank: number): readonly number[];
   placement(): { version: number; placement: Placement };
   order(rank: number, order: RankOrder): OrderOutcome;
-  /** A rank's own work takes this much longer. */
+  /** Sets the slowdown of a rank: the factor by which its own work takes longer. */
   slow(rank: number, factor: number): void;
   figures(): GroupFigures;
   close(): void;
 }
 
-/** What the passes came to. */
+/** Figures over all passes. */
 export interface GroupFigures {
   passes: number;
   meanPassMs: number;
-  /** Most loaded rank over the mean, weighed by passes. */
+  /** Load of the most loaded rank relative to the mean, averaged over the passes. */
   meanSkew: number;
   copies: number;
   mixedPasses: number;
--- a/packages/lab/src/emulator/pass-time.ts
+++ b/packages/lab/src/emulator/pass-time.ts
@@ -1,27 +1,31 @@
-/** How long a pass of a lock-step group takes, as the users' protocol says. */
+/** Time of a pass of a lock-step group, by the users' protocol. */
 
-/** What one rank does in a pass. */
+/** Work of one rank in a pass. */
 export interface RankWork {
-  /** Work of the steps themselves, in ms; none where the rank has no request. */
+  /** Fixed time of the steps; 0 when the rank has no request. */
   stepsMs: number;
-  /** Work for tokens, in ms, a share of which goes to experts. */
+  /** Time for tokens, a fraction of which goes to experts. */
   tokensMs: number;
-  /** Time of the rank's work over the usual. */
+  /** Slowdown of the rank; 1 is normal. */
   pace: number;
 }
 
 const sum = (values: readonly number[]): number => values.reduce((total, n) => total + n, 0);
 
 /**
- * The slowest rank's own part, and the part of experts at the most loaded rank: `skew` times an even
- * share of the work that goes to experts, paces counted in.
+ * Adds the slowest rank's own time and the expert time of the most loaded rank. The latter is the mean
+ * expert time of a rank times `skew`, which includes slowdowns.
  */
-export const passMs = (works: readonly RankWork[], expertShare: number, skew: number): number => {
-  const own = works.map(({ stepsMs, tokensMs, pace }) => {
-    const kept = tokensMs * (1 - expertShare);
-    return (stepsMs + kept) * pace;
+export const computePassMs = (
+  works: readonly RankWork[],
+  expertShare: number,
+  skew: number,
+): number => {
+  const ownTimes = works.map(({ stepsMs, tokensMs, pace }) => {
+    const ownTokensMs = tokensMs * (1 - expertShare);
+    return (stepsMs + ownTokensMs) * pace;
   });
-  const even =
+  const meanExpertMs =
     (sum(works.map(({ tokensMs }) => tokensMs)) / Math.max(1, works.length)) * expertShare;
-  return Math.max(...own) + even * skew;
+  return Math.max(...ownTimes) + meanExpertMs * skew;
 };
--- a/packages/lab/src/emulator/policies.ts
+++ b/packages/lab/src/emulator/policies.ts
@@ -1,4 +1,4 @@
-/** Ways to decide how many streams are in flight: the product's, and those that it is weighed against. */
+/** Admission policies that limit the streams in flight: the real one and alternatives to compare it with. */
 
 import { silentEventLog } from '@plantaindrum/common';
 import { createAdmission } from '@plantaindrum/gateway';
@@ -7,56 +7,56 @@
 import { TARGET_PAUSE_MS } from './targets.js';
 
 const SERVICE = 's';
-/** A token that is written weighs as much as this many that are read (the users' rule of worth). */
+/** A generated token counts as much as this many prompt tokens, by the users' rule of worth. */
 const WRITTEN_WEIGHT = 10;
 const TOKENS_PER_EVENT = 6;
 
 const inFlight = (upstreams: readonly Upstream[]): number =>
   upstreams.reduce((total, upstream) => total + upstream.total(), 0);
 
-const nothing = (): void => {};
+const noop = (): void => {};
 
-/** The product's: the limit follows the pauses that streams show. */
+/** The real admission control: its limit adapts to the pauses between the events of streams. */
 export const followPace = ({ clock, passTimes }: AdmissionTools): AdmissionPolicy => {
   const admission = createAdmission(clock, silentEventLog);
   return {
     admit: ({ isReturn }, upstreams) => {
       const bounds = { targetPauseMs: TARGET_PAUSE_MS, maxConnections: Infinity };
-      const asked = { ...bounds, passTimes, isReturn };
-      return admission.decide({ service: SERVICE, ...asked }, upstreams).admitted;
+      const options = { ...bounds, passTimes, isReturn };
+      return admission.decide({ service: SERVICE, ...options }, upstreams).admitted;
     },
-    notePause: (ms) => admission.pace(SERVICE).notePause(ms),
-    noteEnd: nothing,
+    recordPause: (ms) => admission.pace(SERVICE).notePause(ms),
+    recordEnd: noop,
   };
 };
 
-/** At most this share of all slots, whatever the pace. */
+/** Admits streams up to a fixed fraction of all slots, whatever their pauses. */
 export const fixedCap =
   (share: number) =>
   ({ slots }: AdmissionTools): AdmissionPolicy => ({
     admit: (_request, upstreams) => inFlight(upstreams) < share * slots,
-    notePause: nothing,
-    noteEnd: nothing,
+    recordPause: noop,
+    recordEnd: noop,
   });
 
-const weightOf = ({ promptTokens, events }: StreamRequest): number =>
+const tokenWeight = ({ promptTokens, events }: StreamRequest): number =>
   promptTokens + WRITTEN_WEIGHT * TOKENS_PER_EVENT * events;
 
-/** At most this many tokens in flight, for each slot. */
+/** Admits streams up to a number of weighted tokens in flight for each slot. */
 export const tokenBudget =
   (tokensPerSlot: number) =>
   ({ slots }: AdmissionTools): AdmissionPolicy => {
     let tokens = 0;
     return {
       admit: (request, upstreams) => {
-        const isRoom = tokens + weightOf(request) <= tokensPerSlot * slots;
-        if (!isRoom || inFlight(upstreams) >= slots) return false;
-        tokens += weightOf(request);
+        const hasCapacity = tokens + tokenWeight(request) <= tokensPerSlot * slots;
+        if (!hasCapacity || inFlight(upstreams) >= slots) return false;
+        tokens += tokenWeight(request);
         return true;
       },
-      notePause: nothing,
-      noteEnd: (request) => {
-        tokens -= weightOf(request);
+      recordPause: noop,
+      recordEnd: (request) => {
+        tokens -= tokenWeight(request);
       },
     };
   };
--- a/packages/lab/src/emulator/targets.ts
+++ b/packages/lab/src/emulator/targets.ts
@@ -1,6 +1,6 @@
-/** What callers of the emulated group's streams want, by the users' sheet. */
+/** Latency targets of the emulated group's streams, from the users' specification. */
 
-/** Latest first event that is on time, in ms. */
+/** Maximum time to the first event of a stream on time. */
 export const TARGET_FIRST_MS = 401;
-/** Longest pause between two events that is on time, in ms. */
+/** Maximum pause between two events of a stream on time. */
 export const TARGET_PAUSE_MS = 120;
--- a/packages/lab/test/emulator.test.ts
+++ b/packages/lab/test/emulator.test.ts
@@ -9,19 +9,19 @@
   playDay({ ...smallGroupDay, lengthMs: SHORT_MS, seed: 4, ...change });
 
 describe('an emulated day of a group', () => {
-  it('gives the same figures again', async () => {
+  it('gives the same figures for the same specification', async () => {
     expect(await play()).to.deep.equal(await play());
   });
 
-  it('is served better with balance', async () => {
+  it('has less skew and more worth when the coordinator balances experts', async () => {
     const [without, balanced] = [await play({ weighs: undefined }), await play()];
     expect(balanced.meanSkew).to.be.below(without.meanSkew * 0.8);
     expect(balanced.worth).to.be.above(without.worth);
   });
 
-  // Some orders get no answer and are carried out up to three seconds later, after newer ones; ranks
-  // with different maps would compute different answers in one pass.
-  it('never begins a pass with two maps while orders come late', async () => {
+  // Some orders get no answer and are carried out up to three seconds later, after newer ones. Ranks
+  // with different maps would compute wrong results in a pass.
+  it('never starts a pass with two maps while orders arrive late', async () => {
     const figures = await play({ lateOrders: 0.05, lengthMs: 10_000 });
     expect(figures.mixedPasses).to.equal(0);
     expect(figures.copies).to.be.above(0);
