--- a/packages/lab/src/emulator/day-types.ts
+++ b/packages/lab/src/emulator/day-types.ts
@@ -38,8 +38,9 @@
   seed: number;
   lengthMs: number;
   ranks: number;
-  /** Replica slots of a rank, in each set. */
+  /** Slots of a rank for experts, in each set. */
   places: number;
+  /** Experts that one map change may add to a rank, in each set. */
   spare: number;
   /** Time to copy one expert. */
   copyMs: number;
--- a/packages/lab/src/emulator/engine-group.ts
+++ b/packages/lab/src/emulator/engine-group.ts
@@ -65,20 +65,20 @@
   const totals = { passes: 0, ms: 0, skew: 0, copies: 0, mixed: 0 };
 
   const admit = (rank: Rank): void => {
-    const room = times.slots - rank.running.length;
-    rank.running.push(...rank.waiting.splice(0, Math.max(0, room)));
+    const freeSlots = times.slots - rank.running.length;
+    rank.running.push(...rank.waiting.splice(0, Math.max(0, freeSlots)));
   };
 
   /** Computes the prompt tokens that a rank prefills in this pass, and the times of its work. */
   const computeWork = (rank: Rank): RankWork & { read: number } => {
-    const writers = rank.running.filter(({ read }) => read === 0);
-    const steps = writers.length > 0 ? times.stride : 1;
-    const readers = rank.running.filter(({ read }) => read > 0);
-    const room = writers.length > 0 ? times.chunk * steps : times.chunk;
-    const read = Math.min(room, sum(readers.map((entry) => entry.read)));
-    const context = sum(writers.map(({ request }) => request.promptTokens)) / 1_000;
+    const generating = rank.running.filter(({ read }) => read === 0);
+    const steps = generating.length > 0 ? times.stride : 1;
+    const prefilling = rank.running.filter(({ read }) => read > 0);
+    const maxPrefillTokens = generating.length > 0 ? times.chunk * steps : times.chunk;
+    const read = Math.min(maxPrefillTokens, sum(prefilling.map((entry) => entry.read)));
+    const context = sum(generating.map(({ request }) => request.promptTokens)) / 1_000;
     const stepsMs = rank.running.length > 0 ? steps * times.stepMs : 0;
-    const perStep = times.perSeqMs * writers.length + times.contextMsPerK * context;
+    const perStep = times.perSeqMs * generating.length + times.contextMsPerK * context;
     const tokensMs = steps * perStep + read / times.prefillTokensPerMs;
     return { read, stepsMs, tokensMs, pace: rank.pace };
   };
@@ -161,7 +161,7 @@
     }
     step += 1;
     switchMaps();
-    const works = ranks.map(computeWork);
+    const rankWorks = ranks.map(computeWork);
     const tokensByTopic = new Map<number, number>();
     ranks.forEach((rank) =>
       rank.running.forEach(({ request, read }) => {
@@ -172,12 +172,13 @@
     const skew = computeSkew(tokensByTopic);
     const now = clock.monotonic();
     const isCopying = ranks.some(({ prepared }) => prepared && prepared.readyAt > now);
-    const ms = computePassMs(works, times.expertShare, skew) * (isCopying ? times.copyFactor : 1);
+    const ms =
+      computePassMs(rankWorks, times.expertShare, skew) * (isCopying ? times.copyFactor : 1);
     totals.passes += 1;
     totals.ms += ms;
     totals.skew += skew;
     stopTimer = clock.after(ms, () => {
-      ranks.forEach((rank, at) => advanceRank(rank, works[at]?.read ?? 0));
+      ranks.forEach((rank, at) => advanceRank(rank, rankWorks[at]?.read ?? 0));
       runPass();
     });
   };
--- a/packages/lab/src/soak/checks.ts
+++ b/packages/lab/src/soak/checks.ts
@@ -1,7 +1,7 @@
 /** Checks the documented guarantees against what callers and servers observed. */
 
 import type { SoakCall } from './callers.js';
-import type { PlayedFault } from './faults.js';
+import type { InjectedFault } from './faults.js';
 import type { SoakSite } from './world.js';
 
 /** A guarantee that was violated. */
@@ -50,7 +50,7 @@
 /** Finds connected calls that were open during a planned stop of their entry and got no complete response. */
 const findCallsCutByStop = (
   calls: readonly SoakCall[],
-  faults: readonly PlayedFault[],
+  faults: readonly InjectedFault[],
 ): Violation[] =>
   faults
     .filter(({ what }) => what === 'planned-stop')
@@ -72,7 +72,7 @@
 export const findSoakViolations = (
   site: SoakSite,
   calls: readonly SoakCall[],
-  faults: readonly PlayedFault[],
+  faults: readonly InjectedFault[],
 ): Violation[] => {
   const runs = new Map<string, number>();
   site.servers
@@ -91,7 +91,10 @@
 };
 
 /** Finds calls that an entry process served with a revoked key after it had refused that key. */
-export const findReturnedKeys = (calls: readonly SoakCall[], revokedKey: string): Violation[] => {
+export const findServedRevokedKeys = (
+  calls: readonly SoakCall[],
+  revokedKey: string,
+): Violation[] => {
   const refusedAt = new Map<string, number>();
   return [...calls]
     .sort((a, b) => a.sentAt - b.sentAt)
--- a/packages/lab/src/soak/faults.ts
+++ b/packages/lab/src/soak/faults.ts
@@ -6,7 +6,7 @@
 import type { Vm, SoakSite } from './world.js';
 
 /** A fault that was injected, for the report of a violation. */
-export interface PlayedFault {
+export interface InjectedFault {
   what: string;
   on: string;
   /** Which start of the program was affected, from 1; 0 for the store. */
@@ -17,7 +17,7 @@
 
 /** Running fault injection. */
 export interface Faults {
-  played: readonly PlayedFault[];
+  injected: readonly InjectedFault[];
   /** Restores the store from an older copy now, in addition to the random faults. */
   restoreStore(): Promise<void>;
   /** Starts no more faults and waits until the pending ones are over. */
@@ -97,38 +97,38 @@
 
 /** Starts to inject faults, one every `everyMs` on average; several may overlap. */
 export const startFaults = (site: SoakSite, random: Random, everyMs: number): Faults => {
-  const played: PlayedFault[] = [];
+  const injected: InjectedFault[] = [];
   const pending = new Set<Promise<unknown>>();
-  const harmed = new Set<Vm>();
-  let isStoreHarmed = false;
+  const affected = new Set<Vm>();
+  let isStoreAffected = false;
   let stopped = false;
 
   const recordFault = async (what: string, on: string, boot: number, work: Promise<unknown>) => {
     const fromMs = performance.now();
     const record = { what, on, boot, fromMs, toMs: Infinity };
-    played.push(record);
+    injected.push(record);
     const actualFault = await work;
     record.toMs = performance.now();
     if (typeof actualFault === 'string') record.what = actualFault;
   };
 
   const startStoreFault = async (): Promise<void> => {
-    if (isStoreHarmed) return;
-    isStoreHarmed = true;
+    if (isStoreAffected) return;
+    isStoreAffected = true;
     await recordFault('store', 'store', 0, injectStoreFault(site, random));
-    isStoreHarmed = false;
+    isStoreAffected = false;
   };
 
   const startProcessFault = async (): Promise<void> => {
-    const unharmed = site.vms.filter((vm) => !harmed.has(vm));
-    const vm = unharmed[Math.floor(random() * unharmed.length)];
+    const unaffected = site.vms.filter((vm) => !affected.has(vm));
+    const vm = unaffected[Math.floor(random() * unaffected.length)];
     const names = Object.keys(processFaults);
     const name = names[Math.floor(random() * names.length)] ?? '';
     const action = processFaults[name];
     if (!vm || !action) return;
-    harmed.add(vm);
+    affected.add(vm);
     await recordFault(name, vm.name, vm.boot, action(vm, random, site));
-    harmed.delete(vm);
+    affected.delete(vm);
   };
 
   const run = async (): Promise<void> => {
@@ -143,7 +143,7 @@
   const running = run();
 
   return {
-    played,
+    injected,
     restoreStore: () => recordFault('store', 'store', 0, restoreStore(site, random)),
     stop: async () => {
       stopped = true;
--- a/packages/lab/src/soak/limit-check.ts
+++ b/packages/lab/src/soak/limit-check.ts
@@ -3,7 +3,7 @@
 import { mostInWindow } from '@plantaindrum/stand-ins';
 import type { SoakCall } from './callers.js';
 import type { Violation } from './checks.js';
-import type { PlayedFault } from './faults.js';
+import type { InjectedFault } from './faults.js';
 
 /** An upstream that advertises a rate limit. */
 export interface LimitedUpstream {
@@ -27,7 +27,7 @@
 export const findLimitViolations = (
   upstream: LimitedUpstream,
   calls: readonly SoakCall[],
-  faults: readonly PlayedFault[],
+  faults: readonly InjectedFault[],
 ): Violation[] => {
   const { arrivals, limitPerS, advertisedAt } = upstream;
   const entries = new Map(calls.map(({ id, entry }) => [id, entry]));
@@ -39,12 +39,12 @@
         fromMs <= at &&
         toMs >= at - WINDOW_MS,
     );
-  const counted = arrivals
+  const countedTimes = arrivals
     .filter(
       (arrival) => arrival.at >= advertisedAt + LIMIT_GRACE_MS && !mayHaveForgottenLimit(arrival),
     )
     .map(({ at }) => at);
-  const maxRequests = mostInWindow(counted, WINDOW_MS);
+  const maxRequests = mostInWindow(countedTimes, WINDOW_MS);
   const allowed = (TOLERANCE.factor * limitPerS * WINDOW_MS) / MS_PER_S + TOLERANCE.extra;
   if (maxRequests <= allowed) return [];
   const details = `${maxRequests} requests in ${WINDOW_MS} ms, ${limitPerS} a second advertised; ${allowed} allowed`;
--- a/packages/lab/src/soak/soak.ts
+++ b/packages/lab/src/soak/soak.ts
@@ -4,7 +4,7 @@
 import { createSeededRandom } from '@plantaindrum/common';
 import { startCallers } from './callers.js';
 import type { Callers } from './callers.js';
-import { findReturnedKeys, findSoakViolations } from './checks.js';
+import { findServedRevokedKeys, findSoakViolations } from './checks.js';
 import type { Violation } from './checks.js';
 import { startFaults } from './faults.js';
 import { findLimitViolations } from './limit-check.js';
@@ -81,7 +81,7 @@
     const faults = startFaults(site, createSeededRandom(seed + 1), FAULT_EVERY_MS);
     await delay(lengthMs * LIMIT_AT_FRACTION);
     const advertisedAt = performance.now();
-    site.limited.advertiseLimit(LIMIT_PER_S);
+    site.limitedServer.advertiseLimit(LIMIT_PER_S);
     await delay(lengthMs * (REVOKE_AT_FRACTION - LIMIT_AT_FRACTION));
     site.putIntent(2, [KEPT_KEY, LAST_REVOKED_KEY]);
     // The store may return an old version again, which the programs must not apply.
@@ -95,24 +95,24 @@
     const recoveryViolations = await findRecoveryViolations(site, callers);
     await callers.stop();
     const violations = [
-      ...findSoakViolations(site, callers.calls, faults.played),
+      ...findSoakViolations(site, callers.calls, faults.injected),
       ...findLimitViolations(
-        { arrivals: site.limited.arrivals, limitPerS: LIMIT_PER_S, advertisedAt },
+        { arrivals: site.limitedServer.arrivals, limitPerS: LIMIT_PER_S, advertisedAt },
         callers.calls,
-        faults.played,
+        faults.injected,
       ),
-      ...findReturnedKeys(callers.calls, REVOKED_KEY),
+      ...findServedRevokedKeys(callers.calls, REVOKED_KEY),
       ...recoveryViolations,
     ];
     violations.forEach(({ guarantee, details }) => print(`  violated: ${guarantee}: ${details}`));
     if (violations.length > 0) {
-      faults.played.forEach((fault) => print(`  fault ${JSON.stringify(fault)}`));
+      faults.injected.forEach((fault) => print(`  fault ${JSON.stringify(fault)}`));
     }
     return {
       violations,
       calls: callers.calls.length,
       answered: callers.calls.filter(({ status }) => status === 200).length,
-      faults: faults.played.length,
+      faults: faults.injected.length,
       mapChanges: site.group.ranks[0]?.map ?? 0,
     };
   } finally {
--- a/packages/lab/src/soak/world.ts
+++ b/packages/lab/src/soak/world.ts
@@ -32,7 +32,7 @@
   group: GroupStandIn;
   servers: readonly ServerStandIn[];
   /** The plain server that advertises a rate limit. */
-  limited: ServerStandIn;
+  limitedServer: ServerStandIn;
   vms: readonly Vm[];
   /** Starts a VM's program again after it has exited. */
   restart(vm: Vm): Promise<void>;
@@ -109,9 +109,9 @@
     write();
     return server;
   };
-  const limited = await startServer('book-0', 'book', serverIp(0));
+  const limitedServer = await startServer('book-0', 'book', serverIp(0));
   const servers = await Promise.all([
-    limited,
+    limitedServer,
     ...Array.from({ length: ranks }, (_, n) => startServer(`rank-${n}`, 'llm', rankIp(n), n)),
     ...Array.from({ length: books - 1 }, (_, n) =>
       startServer(`book-${n + 1}`, 'book', serverIp(n + 1)),
@@ -159,7 +159,7 @@
     store,
     group,
     servers,
-    limited,
+    limitedServer,
     vms,
     restart: async (vm) => {
       // Set before the start, because the program serves callers before its ready line has been read here.
