--- a/packages/gateway/src/admission/admission.ts
+++ b/packages/gateway/src/admission/admission.ts
@@ -33,7 +33,7 @@
     open?: readonly Upstream[],
   ): AdmissionDecision;
   /** Event timings of a service's streams. */
-  pace(service: string): EventTimings;
+  eventTimings(service: string): EventTimings;
   /** Current limit on a service's streams in flight at all entries together; undefined before the first decision. */
   limit(service: string): number | undefined;
 }
@@ -93,7 +93,7 @@
     const { targetPauseMs } = request;
     if (now - limit.updatedAt < UPDATE_PERIOD_MS || targetPauseMs === undefined) return limit.value;
     limit.updatedAt = now;
-    const passMs = timingsOf(request.service).pause(PAUSE_QUANTILE) ?? 0;
+    const passMs = timingsOf(request.service).pauseQuantile(PAUSE_QUANTILE) ?? 0;
     const boundMs = targetPauseMs * PAUSE_BOUND_FACTOR;
     const times = request.passTimes ?? proportionalPassTimes;
     const sustainableStreams = maxStreamsWithin({ ...group, times, passMs, boundMs });
@@ -132,7 +132,7 @@
         ? { admitted: true }
         : decideStream(request, upstreams);
     },
-    pace: timingsOf,
+    eventTimings: timingsOf,
     limit: (service) => limits.get(service)?.value,
   };
 };
--- a/packages/gateway/src/admission/pace.ts
+++ b/packages/gateway/src/admission/pace.ts
@@ -6,20 +6,20 @@
 /** Event timings of one service, as observed on the streams through this entry. */
 export interface EventTimings {
   /** Records the time between two successive events of a stream, in ms. */
-  notePause(ms: number): void;
+  recordPause(ms: number): void;
   /** Records the time from sending an attempt to its first event, in ms. */
-  noteFirst(ms: number): void;
+  recordFirstEvent(ms: number): void;
   /** Records that an attempt was given up without an event after this time, in ms. */
-  noteNone(ms: number): void;
+  recordTimeout(ms: number): void;
   /**
    * Time without a first event after which an attempt's upstream is considered dead, in ms. It follows the observed
    * times: while requests queue for a slot or long prompts are read, live upstreams are silent for longer, too.
    */
-  firstLimit(): number;
+  firstEventTimeoutMs(): number;
   /** Quantile of the recent pauses, in ms; undefined without recent events. */
-  pause(quantile: number): number | undefined;
+  pauseQuantile(quantile: number): number | undefined;
   /** Time since the last event of any stream of the service, in ms. */
-  silence(): number;
+  silenceMs(): number;
 }
 
 /** Age up to which pauses count as recent, in ms: some ten passes of a group. */
@@ -61,19 +61,19 @@
   };
 
   return {
-    notePause: (ms) => {
+    recordPause: (ms) => {
       pauses = add(pauses, ms);
     },
-    noteFirst: (ms) => {
+    recordFirstEvent: (ms) => {
       lastEventAt = clock.monotonic();
       firstEventTimes.note('first', ms);
     },
-    noteNone: (ms) => firstEventTimes.note('first', ms),
-    firstLimit: () => firstEventTimes.limit('first'),
-    pause: (quantile) => {
+    recordTimeout: (ms) => firstEventTimes.note('first', ms),
+    firstEventTimeoutMs: () => firstEventTimes.limit('first'),
+    pauseQuantile: (quantile) => {
       pauses = recent(pauses);
       return quantileOf(pauses, quantile);
     },
-    silence: () => clock.monotonic() - lastEventAt,
+    silenceMs: () => clock.monotonic() - lastEventAt,
   };
 };
--- a/packages/gateway/src/admission/reopening.ts
+++ b/packages/gateway/src/admission/reopening.ts
@@ -22,15 +22,15 @@
   | 'no-room';
 
 /** Services whose upstreams refuse all requests, with their wait queues. */
-export interface Reopening {
+export interface ServiceOutages {
   /** Most of a service's upstreams have just refused: an outage begins or goes on. */
-  noteRefusing(service: string): void;
+  recordRefusal(service: string): void;
   /** One of its upstreams has answered: an outage is over. */
-  noteAnswer(service: string): void;
+  recordAnswer(service: string): void;
   /** A request ended without showing the service's state: the upstream wasn't reached, or is another instance now. */
-  noteNothing(service: string): void;
+  recordInconclusive(service: string): void;
   /** Whether the service has an outage. */
-  isClosed(service: string): boolean;
+  isUnavailable(service: string): boolean;
   /** Waits for the end of an outage, at most until the caller's `until`. */
   wait(service: string, caller: WaitingCaller): Promise<WaitOutcome>;
 }
@@ -38,13 +38,13 @@
 /** A caller that may wait. */
 export interface WaitingCaller {
   /** It has been refused before and won't come back again. */
-  isLastTry: boolean;
+  isLastAttempt: boolean;
   /** End of the wait (monotonic, ms). */
   until: number;
   /** Rank among callers, 0 first. */
   urgency: number;
   /** Max callers that may wait for the service at this entry. */
-  room: number;
+  maxWaiting: number;
 }
 
 /** Options of the service outages. */
@@ -83,7 +83,11 @@
   a.urgency - b.urgency || a.queuedAt - b.queuedAt;
 
 /** Creates the outages and wait queues of one entry. */
-export const createReopening = ({ clock, metrics, log }: ServiceOutagesOptions): Reopening => {
+export const createServiceOutages = ({
+  clock,
+  metrics,
+  log,
+}: ServiceOutagesOptions): ServiceOutages => {
   const outages = new Map<string, Outage>();
 
   const isExpired = ({ lastRefusalAt, queue }: Outage): boolean =>
@@ -123,7 +127,7 @@
   };
 
   return {
-    noteRefusing: (service) => {
+    recordRefusal: (service) => {
       const now = clock.monotonic();
       const known = outages.get(service);
       if (known) Object.assign(known, { lastRefusalAt: now, isProbePending: false });
@@ -134,15 +138,15 @@
         outages.set(service, { ...times, ...emptyQueue });
       }
     },
-    noteAnswer: (service) => {
+    recordAnswer: (service) => {
       const outage = outages.get(service);
       if (outage) endOutage(service, outage);
     },
-    noteNothing: (service) => {
+    recordInconclusive: (service) => {
       const outage = outages.get(service);
       if (outage) outage.isProbePending = false;
     },
-    isClosed: (service) => {
+    isUnavailable: (service) => {
       const outage = outages.get(service);
       if (outage && isExpired(outage)) outages.delete(service);
       return outages.has(service);
@@ -152,8 +156,8 @@
       const now = clock.monotonic();
       if (!outage) return Promise.resolve('open');
       if (caller.until <= now) return Promise.resolve('too-long');
-      const isFull = outage.queue.length >= caller.room;
-      if (!caller.isLastTry || isFull) {
+      const isFull = outage.queue.length >= caller.maxWaiting;
+      if (!caller.isLastAttempt || isFull) {
         if (now - outage.lastProbeAt < PROBE_INTERVAL_MS) return Promise.resolve('no-room');
         if (outage.isProbePending) {
           endOutage(service, outage);
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -4,16 +4,16 @@
 import { sleep } from '@plantaindrum/common';
 import type { NodeRecord, PublishNode } from '@plantaindrum/mirror';
 import { createAdmission } from './admission/admission.js';
-import { createReopening } from './admission/reopening.js';
+import { createServiceOutages } from './admission/reopening.js';
 import { createCallerServer } from './door.js';
 import type { ListenAddress } from './door.js';
 import { createIntentReader } from './intent/intent-reader.js';
 import { createRouteTable } from './intent/route-table.js';
 import type { RouteTable } from './intent/route-table.js';
 import { followEntryTopics } from './mesh/entry-topics.js';
-import type { TopicsOfEntry } from './mesh/entry-topics.js';
+import type { EntryLogTopics } from './mesh/entry-topics.js';
 import { createFollowedTopics } from './mesh/followed-topics.js';
-import { createLoadTeller } from './mesh/load-share.js';
+import { createLoadBroadcaster } from './mesh/load-share.js';
 import { createMesh } from './mesh/mesh.js';
 import type { Mesh } from './mesh/mesh.js';
 import { createExitCheck, tryConnect } from './attempts/exit-check.js';
@@ -51,7 +51,7 @@
   bounds: GatewayBounds;
   /** Maximum number of concurrent connections of callers. */
   maxConnections: number;
-  topics: TopicsOfEntry;
+  topics: EntryLogTopics;
   publish: PublishNode;
   /** Writes to the topic of quarantined requests; without a value it removes the key. */
   publishQuarantine: (key: string, value: Uint8Array | undefined) => Promise<boolean>;
@@ -96,14 +96,14 @@
   const followedTopics = createFollowedTopics({ mesh: () => mesh, clock, metrics, log });
 
   const quarantine = createQuarantine({
-    tell: (news) => mesh?.tellCrashes(news),
+    broadcast: (news) => mesh?.broadcastQuarantine(news),
     publish: options.publishQuarantine,
     clock,
     metrics,
     log,
   });
   const checkExit = createExitCheck<UpstreamRecord>(
-    (upstream) => quarantine.noteEnded(upstream, 'refused-connection'),
+    (upstream) => quarantine.handleEnd(upstream, 'refused-connection'),
     (host, port) => tryConnect(host, port, clock),
     clock,
   );
@@ -111,9 +111,9 @@
   const directory = createDirectory({
     decode: options.decodeUpstream,
     dataCentre: self.dataCentre,
-    onExited: (upstream) => quarantine.noteEnded(upstream, 'started-again'),
+    onExited: (upstream) => quarantine.handleEnd(upstream, 'started-again'),
     maxConnections: (service) => routeTable?.service(service)?.maxConnections ?? Infinity,
-    connectedFraction: () => mesh?.linkedShare() ?? 1,
+    connectedFraction: () => mesh?.connectedFraction() ?? 1,
     logRecoveredAt: () => followedTopics.follower(topics.upstreams.name)?.logBackAt() ?? -Infinity,
     clock,
     random,
@@ -122,14 +122,14 @@
   });
   const rateLimits = createRateLimits({
     upstreams: directory.all,
-    tell: (news) => mesh?.tellRates(news),
+    broadcast: (news) => mesh?.broadcastRateLimits(news),
     metrics,
     log,
   });
   const admission = createAdmission(clock, log);
   const entries = (): number => mesh?.entries() ?? 1;
   const budget = createRetryBudget({ limits: () => bounds.retries, entries, clock });
-  const reopening = createReopening({ clock, metrics, log });
+  const reopening = createServiceOutages({ clock, metrics, log });
 
   const waitForIntent = async (timeoutMs: number): Promise<void> => {
     const deadline = clock.monotonic() + timeoutMs;
@@ -142,7 +142,7 @@
     admission,
     budget,
     rateLimits,
-    reopening,
+    outages: reopening,
     quarantine,
     checkExit,
     entries,
@@ -190,8 +190,8 @@
     onIntent: applyIntent,
     onUpstream: directory.apply,
     onNodes: (nodes) => mesh?.setNodes(nodes),
-    onQuarantine: quarantine.takeRecord,
-    onQuarantineLost: quarantine.noteRestored,
+    onQuarantine: quarantine.applyRecord,
+    onQuarantineLost: quarantine.handleRestored,
     clock,
     log,
   });
@@ -203,9 +203,9 @@
         .filter((upstream) => upstream.inFlight() > 0)
         .map((upstream) => [upstream.record.instance, upstream.inFlight()]),
     );
-  const loadBroadcaster = createLoadTeller({
+  const loadBroadcaster = createLoadBroadcaster({
     counts: localCounts,
-    tell: (share) => mesh?.shareLoad(share),
+    broadcast: (share) => mesh?.broadcastLoad(share),
     clock,
   });
 
@@ -216,18 +216,18 @@
     seeds: options.seeds,
     intentVersion: () => Math.trunc(routeTable?.intent.version ?? -1),
     onPeerAhead: entryTopics.intent.hurry,
-    onShare: directory.applyPeerLoad,
-    wholeShare: loadBroadcaster.whole,
-    onRateNews: rateLimits.takeNews,
-    wholeRateNews: rateLimits.whole,
-    onCrashNews: quarantine.takeNews,
-    wholeCrashNews: quarantine.whole,
+    onLoadUpdate: directory.applyPeerLoad,
+    fullLoadUpdate: loadBroadcaster.fullUpdate,
+    onRateLimitUpdate: rateLimits.applyUpdate,
+    fullRateLimitUpdate: rateLimits.snapshot,
+    onQuarantineUpdate: quarantine.handlePeerUpdate,
+    fullQuarantineUpdate: quarantine.fullUpdate,
     onPush: (topic, push) => followedTopics.follower(topic)?.takePush(push),
-    onPeerGone: (peer) => {
+    onPeerLost: (peer) => {
       directory.all().forEach((upstream) => upstream.forgetPeer(peer));
       quarantine.forgetPeer(peer);
     },
-    onPace: directory.recordSlowdown,
+    onEngineSlowdown: directory.recordSlowdown,
     recordsAfter: followedTopics.recordsAfter,
     clock,
     random,
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -8,4 +8,4 @@
 export * from './upstreams/rate-limit.js';
 export * from './upstreams/slow-upstreams.js';
 export * from './upstreams/upstream.js';
-export { pickOffer } from './upstreams/choice.js';
+export { selectCandidate } from './upstreams/choice.js';
--- a/packages/gateway/src/mesh/engine-pace.ts
+++ b/packages/gateway/src/mesh/engine-pace.ts
@@ -1,7 +1,7 @@
 import { isObject } from '@plantaindrum/common';
 
 /** Slowdown of an engine, as reported by the agent beside it. */
-export interface EnginePace {
+export interface EngineSlowdown {
   /** Address under which entries know the engine. */
   host: string;
   port: number;
@@ -12,7 +12,7 @@
 }
 
 /** Reads a slowdown report; undefined when the value isn't one. */
-export const readEngineSlowdown = (value: unknown): EnginePace | undefined => {
+export const readEngineSlowdown = (value: unknown): EngineSlowdown | undefined => {
   if (!isObject(value)) return undefined;
   const { host, port, startedAt, pace } = value;
   if (typeof host !== 'string' || typeof port !== 'number') return undefined;
--- a/packages/gateway/src/mesh/entry-topics.ts
+++ b/packages/gateway/src/mesh/entry-topics.ts
@@ -13,7 +13,7 @@
 import type { FollowedTopics } from './followed-topics.js';
 
 /** Topics of the platform's log: operators' intent, list of upstreams, node registry, quarantined requests. */
-export interface TopicsOfEntry {
+export interface EntryLogTopics {
   intent: KeyedTopic;
   upstreams: KeyedTopic;
   nodes: KeyedTopic;
@@ -23,7 +23,7 @@
 /** Options of `followEntryTopics`. */
 export interface EntryTopicsOptions {
   self: NodeRecord;
-  topics: TopicsOfEntry;
+  topics: EntryLogTopics;
   followed: FollowedTopics;
   publish: PublishNode;
   /** Key of the intent in its topic. */
--- a/packages/gateway/src/mesh/load-share.ts
+++ b/packages/gateway/src/mesh/load-share.ts
@@ -4,25 +4,25 @@
 import { isObject } from '@plantaindrum/common';
 
 /** An entry's requests in flight, by the upstream's instance. */
-export interface LoadShare {
+export interface LoadUpdate {
   /** In a full update, upstreams that aren't named have no requests; otherwise their number is unchanged. */
   isWhole: boolean;
   counts: Readonly<Record<string, number>>;
 }
 
 /** Reads a load update; undefined when the value isn't one. */
-export const readLoadUpdate = (value: unknown): LoadShare | undefined => {
+export const readLoadUpdate = (value: unknown): LoadUpdate | undefined => {
   if (!isObject(value) || typeof value.isWhole !== 'boolean' || !isObject(value.counts)) {
     return undefined;
   }
   const areCountsValid = Object.values(value.counts).every((n) => typeof n === 'number');
-  return areCountsValid ? (value as unknown as LoadShare) : undefined;
+  return areCountsValid ? (value as unknown as LoadUpdate) : undefined;
 };
 
 /** Broadcasts this entry's load as it changes. */
 export interface LoadBroadcaster {
   /** Returns a full update, for a peer that is newly linked. */
-  whole(): LoadShare;
+  fullUpdate(): LoadUpdate;
   close(): void;
 }
 
@@ -30,7 +30,7 @@
 export interface LoadBroadcasterOptions {
   /** Current requests in flight at each upstream; upstreams without any may be missing. */
   counts: () => ReadonlyMap<string, number>;
-  tell: (update: LoadShare) => void;
+  broadcast: (update: LoadUpdate) => void;
   clock: Clock;
 }
 
@@ -43,9 +43,9 @@
 const FULL_UPDATE_INTERVAL_MS = 5_000;
 
 /** Starts to broadcast; runs until `close`. */
-export const createLoadTeller = ({
+export const createLoadBroadcaster = ({
   counts,
-  tell,
+  broadcast,
   clock,
 }: LoadBroadcasterOptions): LoadBroadcaster => {
   let lastCounts: ReadonlyMap<string, number> = new Map();
@@ -59,7 +59,7 @@
       .map((instance): [string, number] => [instance, 0]),
   ];
 
-  const createFullUpdate = (): LoadShare => ({
+  const createFullUpdate = (): LoadUpdate => ({
     isWhole: true,
     counts: Object.fromEntries(counts()),
   });
@@ -70,14 +70,14 @@
     const isFullUpdateDue = clock.monotonic() - lastFullUpdateAt > FULL_UPDATE_INTERVAL_MS;
     if (isFullUpdateDue) {
       lastFullUpdateAt = clock.monotonic();
-      tell(createFullUpdate());
+      broadcast(createFullUpdate());
     } else if (changes.length > 0) {
-      tell({ isWhole: false, counts: Object.fromEntries(changes) });
+      broadcast({ isWhole: false, counts: Object.fromEntries(changes) });
     }
     lastCounts = now;
     stopTimer = clock.after(BROADCAST_INTERVAL_MS, broadcastChanges);
   };
   broadcastChanges();
 
-  return { whole: createFullUpdate, close: () => stopTimer() };
+  return { fullUpdate: createFullUpdate, close: () => stopTimer() };
 };
--- a/packages/gateway/src/mesh/mesh.ts
+++ b/packages/gateway/src/mesh/mesh.ts
@@ -7,14 +7,14 @@
 import { readPush, readRecordList } from '@plantaindrum/mirror';
 import type { AskPeers, NodeRecord, PeerPush, PeerRecords, TopicPlace } from '@plantaindrum/mirror';
 import type { ListenAddress } from '../door.js';
-import type { News } from '../quarantine/news.js';
+import type { QuarantineUpdate } from '../quarantine/news.js';
 import { readEngineSlowdown } from './engine-pace.js';
-import type { EnginePace } from './engine-pace.js';
+import type { EngineSlowdown } from './engine-pace.js';
 import { createConnectedEntries } from './linked-share.js';
 import { readLoadUpdate } from './load-share.js';
-import type { LoadShare } from './load-share.js';
+import type { LoadUpdate } from './load-share.js';
 import { readRateLimitUpdate } from './rate-news.js';
-import type { RateNews } from './rate-news.js';
+import type { RateLimitUpdate } from './rate-news.js';
 
 /** The links of one entry to the others. */
 export interface Mesh {
@@ -23,15 +23,15 @@
   /** Whether a linked entry has a lower node name; the entry with the lowest one reads the log for all. */
   hasLowerPeer(): boolean;
   /** Broadcasts this entry's requests in flight. */
-  shareLoad(update: LoadShare): void;
+  broadcastLoad(update: LoadUpdate): void;
   /** Number of entries that may be running, including this one. */
   entries(): number;
   /** Fraction of these that is linked, including this one. */
-  linkedShare(): number;
+  connectedFraction(): number;
   /** Broadcasts upstreams' rate limits, and requests sent to upstreams that have one. */
-  tellRates(update: RateNews): void;
+  broadcastRateLimits(update: RateLimitUpdate): void;
   /** Broadcasts reports on requests that crash upstreams. */
-  tellCrashes(update: News): void;
+  broadcastQuarantine(update: QuarantineUpdate): void;
   /** Broadcasts records that the log has just returned. */
   broadcastPush(topic: string, push: PeerPush): void;
   /** Fetches records of a topic after a position from a linked entry chosen at random. */
@@ -50,21 +50,21 @@
   intentVersion: () => number;
   /** Called when a peer holds a newer intent. */
   onPeerAhead: () => void;
-  onShare: (peer: string, update: LoadShare) => void;
+  onLoadUpdate: (peer: string, update: LoadUpdate) => void;
   /** Returns this entry's full load, for a peer that is newly linked. */
-  wholeShare: () => LoadShare;
-  onRateNews: (peer: string, update: RateNews) => void;
+  fullLoadUpdate: () => LoadUpdate;
+  onRateLimitUpdate: (peer: string, update: RateLimitUpdate) => void;
   /** Returns all known rate limits of upstreams, for a peer that is newly linked. */
-  wholeRateNews: () => RateNews;
+  fullRateLimitUpdate: () => RateLimitUpdate;
   /** Called with a peer's update on requests that crash upstreams, not yet validated. */
-  onCrashNews: (peer: string, value: unknown) => void;
+  onQuarantineUpdate: (peer: string, value: unknown) => void;
   /** Returns all that is known of such requests, for a peer that is newly linked. */
-  wholeCrashNews: () => News;
+  fullQuarantineUpdate: () => QuarantineUpdate;
   onPush: (topic: string, push: PeerPush) => void;
   /** Called when the last link to a peer is closed. */
-  onPeerGone: (peer: string) => void;
+  onPeerLost: (peer: string) => void;
   /** Called when an agent reports the slowdown of the engine beside it. */
-  onPace: (slowdown: EnginePace) => void;
+  onEngineSlowdown: (slowdown: EngineSlowdown) => void;
   /** Returns the records that this entry's mirror of a topic holds after a position. */
   recordsAfter: (topic: string, after: TopicPlace) => PeerRecords | undefined;
   clock: Clock;
@@ -114,7 +114,7 @@
   const handleRateLimitUpdate = (peer: string, value: unknown): void => {
     const update = readRateLimitUpdate(value);
     if (update) {
-      options.onRateNews(peer, update);
+      options.onRateLimitUpdate(peer, update);
       return;
     }
     metrics.count('gateway_rate_news_unreadable');
@@ -126,13 +126,13 @@
     (frame) => {
       if (frame.t !== 'note') return;
       const load = frame.method === 'load.share' ? readLoadUpdate(frame.args) : undefined;
-      if (load) options.onShare(peer, load);
+      if (load) options.onLoadUpdate(peer, load);
       const pushed = frame.method === 'mirror.push' ? readTopicPush(frame.args) : undefined;
       if (pushed) options.onPush(pushed.topic, pushed.push);
       const slowdown = frame.method === 'engine.pace' ? readEngineSlowdown(frame.args) : undefined;
-      if (slowdown) options.onPace(slowdown);
+      if (slowdown) options.onEngineSlowdown(slowdown);
       if (frame.method === RATE_LIMIT_NOTE) handleRateLimitUpdate(peer, frame.args);
-      if (frame.method === QUARANTINE_NOTE) options.onCrashNews(peer, frame.args);
+      if (frame.method === QUARANTINE_NOTE) options.onQuarantineUpdate(peer, frame.args);
     };
 
   const onLink = (link: Link): FrameHandler => {
@@ -142,16 +142,16 @@
     const isEntry = link.peer.role === 'entry';
     if (isEntry) {
       connectedEntries.recordLinked(node);
-      link.send({ t: 'note', method: 'load.share', args: options.wholeShare() });
-      link.send({ t: 'note', method: QUARANTINE_NOTE, args: options.wholeCrashNews() });
-      link.send({ t: 'note', method: RATE_LIMIT_NOTE, args: options.wholeRateNews() });
+      link.send({ t: 'note', method: 'load.share', args: options.fullLoadUpdate() });
+      link.send({ t: 'note', method: QUARANTINE_NOTE, args: options.fullQuarantineUpdate() });
+      link.send({ t: 'note', method: RATE_LIMIT_NOTE, args: options.fullRateLimitUpdate() });
     }
     void link.closed.then((why) => {
       links.delete(link);
       log.event('peer-lost', { peer: node, why });
       if ([...links].some(({ peer }) => peer.node === node)) return;
       if (isEntry) connectedEntries.recordLost(node);
-      options.onPeerGone(node);
+      options.onPeerLost(node);
     });
     return onFrame(node);
   };
@@ -210,17 +210,17 @@
       closeUnlinkedClients(new Set([...entries, ...options.seeds].map(addressKey)));
     },
     hasLowerPeer: () => entryLinks().some(({ peer }) => peer.node < self.node),
-    shareLoad: (update) => {
+    broadcastLoad: (update) => {
       entryLinks().forEach((link) => link.send({ t: 'note', method: 'load.share', args: update }));
     },
     entries: connectedEntries.entries,
-    linkedShare: connectedEntries.connectedFraction,
-    tellRates: (update) => {
+    connectedFraction: connectedEntries.connectedFraction,
+    broadcastRateLimits: (update) => {
       entryLinks().forEach((link) =>
         link.send({ t: 'note', method: RATE_LIMIT_NOTE, args: update }),
       );
     },
-    tellCrashes: (update) => {
+    broadcastQuarantine: (update) => {
       entryLinks().forEach((link) =>
         link.send({ t: 'note', method: QUARANTINE_NOTE, args: update }),
       );
--- a/packages/gateway/src/mesh/rate-news.ts
+++ b/packages/gateway/src/mesh/rate-news.ts
@@ -20,7 +20,7 @@
 }
 
 /** Content of one note to a peer. */
-export interface RateNews {
+export interface RateLimitUpdate {
   limits: AdvertisedLimit[];
   sent: SentRequests[];
 }
@@ -40,7 +40,7 @@
   readList(value, MAX_PER_NOTE, (entry) => namesUpstreamStart(entry) && isValid(entry));
 
 /** Reads a rate limit update; undefined when the value isn't one. */
-export const readRateLimitUpdate = (value: unknown): RateNews | undefined => {
+export const readRateLimitUpdate = (value: unknown): RateLimitUpdate | undefined => {
   if (!isObject(value)) return undefined;
   const limits = readEntries<AdvertisedLimit>(
     value.limits,
--- a/packages/gateway/src/quarantine/news-teller.ts
+++ b/packages/gateway/src/quarantine/news-teller.ts
@@ -1,13 +1,13 @@
 import type { Clock } from '@plantaindrum/common';
 import { MAX_REPORTS_PER_NOTE } from './news.js';
-import type { News } from './news.js';
+import type { QuarantineUpdate } from './news.js';
 
 /** Kinds of reports in a quarantine update. */
 export type ReportKind = 'crashes' | 'quarantined' | 'sound';
 
 /** Collects reports and broadcasts them to the other entries in batches. */
 export interface QuarantineBroadcaster {
-  add<Kind extends ReportKind>(kind: Kind, report: News[Kind][number]): void;
+  add<Kind extends ReportKind>(kind: Kind, report: QuarantineUpdate[Kind][number]): void;
   /** Schedules a broadcast without a new report: the set of local trials has changed. */
   schedule(): void;
   close(): void;
@@ -15,7 +15,7 @@
 
 /** Options of `createQuarantineBroadcaster`. */
 export interface QuarantineBroadcasterOptions {
-  broadcast: (update: News) => void;
+  broadcast: (update: QuarantineUpdate) => void;
   /** Returns the suspect requests under trial at this entry. */
   underTrial: () => readonly string[];
   clock: Clock;
@@ -25,7 +25,7 @@
 const BROADCAST_DELAY_MS = 40;
 
 /** Creates an update without reports. */
-export const emptyQuarantineUpdate = (): News => ({
+export const emptyQuarantineUpdate = (): QuarantineUpdate => ({
   crashes: [],
   quarantined: [],
   sound: [],
--- a/packages/gateway/src/quarantine/news.ts
+++ b/packages/gateway/src/quarantine/news.ts
@@ -26,7 +26,7 @@
 }
 
 /** Content of one note to a peer. */
-export interface News {
+export interface QuarantineUpdate {
   crashes: CrashReport[];
   quarantined: QuarantineReport[];
   sound: SuccessReport[];
@@ -59,7 +59,7 @@
   typeof instance === 'string' && isAge(sentAgoMs) && isAge(endedAgoMs) && sentAgoMs >= endedAgoMs;
 
 /** Reads a quarantine update; undefined when the value isn't one. */
-export const readQuarantineUpdate = (value: unknown): News | undefined => {
+export const readQuarantineUpdate = (value: unknown): QuarantineUpdate | undefined => {
   if (!isObject(value)) return undefined;
   const crashes = readReports<CrashReport>(value.crashes, isCrash);
   const quarantined = readReports<QuarantineReport>(
--- a/packages/gateway/src/quarantine/quarantine.ts
+++ b/packages/gateway/src/quarantine/quarantine.ts
@@ -6,7 +6,7 @@
 import { createCrashEvidence } from './crash-evidence.js';
 import type { Crash, Verdict } from './crash-evidence.js';
 import { MAX_REPORTS_PER_NOTE, readQuarantineUpdate } from './news.js';
-import type { CrashReport, News } from './news.js';
+import type { CrashReport, QuarantineUpdate } from './news.js';
 import { createQuarantineBroadcaster, emptyQuarantineUpdate } from './news-teller.js';
 import { createRecordWriter } from './record-writer.js';
 import { decodeRecord, encodeRecord } from './record.js';
@@ -21,13 +21,13 @@
   | { reason: 'crash-suspect' };
 
 /** One attempt, as observed by the quarantine. */
-export interface QuarantineRun {
+export interface MonitoredAttempt {
   /** The upstream refused without running the request. */
-  noteNotRun(): void;
+  recordNotRun(): void;
   /** An event of the stream has been received. */
-  noteEvent(): void;
+  recordEvent(): void;
   /** The complete answer has been received. */
-  noteWhole(): void;
+  complete(): void;
   /** Whether the upstream is known not to have crashed on the request. */
   hasSurvived(): boolean;
   /** The attempt has ended, for whatever reason. */
@@ -40,18 +40,18 @@
   refusal(fingerprint: string): QuarantineRefusal | undefined;
   /** Whether the request was in flight in a crash and is not known to have succeeded. */
   isSuspect(fingerprint: string): boolean;
-  begin(fingerprint: string, upstream: UpstreamStart): QuarantineRun;
+  begin(fingerprint: string, upstream: UpstreamStart): MonitoredAttempt;
   /** Handles the end of an upstream's process; `proof` says how it was established. */
-  noteEnded(upstream: UpstreamStart, proof: EndProof): void;
+  handleEnd(upstream: UpstreamStart, proof: EndProof): void;
   /** Handles a quarantine update from a peer, not yet validated. */
-  takeNews(peer: string, value: unknown): void;
+  handlePeerUpdate(peer: string, value: unknown): void;
   forgetPeer(peer: string): void;
   /** Returns all evidence, for a peer that is newly linked. */
-  whole(): News;
+  fullUpdate(): QuarantineUpdate;
   /** Applies a change of a quarantine record on the platform. */
-  takeRecord(change: KeyedChange): void;
+  applyRecord(change: KeyedChange): void;
   /** Handles a restore of the platform's log from an older copy, which lacks the records in `lost`. */
-  noteRestored(lost: readonly string[], source: RestoreSource): void;
+  handleRestored(lost: readonly string[], source: RestoreSource): void;
   close(): void;
 }
 
@@ -61,7 +61,7 @@
 /** Options of `createQuarantine`. */
 export interface QuarantineOptions {
   /** Sends an update to all linked entries. */
-  tell: (update: News) => void;
+  broadcast: (update: QuarantineUpdate) => void;
   /** Writes a record under a key, or deletes the key without one; false unless known to have succeeded. */
   publish: (key: string, value: Uint8Array | undefined) => Promise<boolean>;
   clock: Clock;
@@ -90,7 +90,7 @@
   const outdatedRecords = new Set<string>();
   const trials = createSuspectTrials(clock);
   const broadcaster = createQuarantineBroadcaster({
-    broadcast: options.tell,
+    broadcast: options.broadcast,
     underTrial: trials.localTrials,
     clock,
   });
@@ -108,7 +108,7 @@
   });
 
   /** Returns the report of a request's quarantine; empty if it isn't quarantined. */
-  const quarantineReports = (fingerprint: string): News['quarantined'] => {
+  const quarantineReports = (fingerprint: string): QuarantineUpdate['quarantined'] => {
     const { quarantine } = evidence.suspectRecord(fingerprint) ?? {};
     if (!quarantine || evidence.verdict(fingerprint) !== 'quarantined') return [];
     const leftMs = quarantine.until - clock.monotonic();
@@ -160,7 +160,7 @@
     });
   };
 
-  const applyPeerUpdate = (peer: string, update: News): void => {
+  const applyPeerUpdate = (peer: string, update: QuarantineUpdate): void => {
     const now = clock.monotonic();
     update.sound.forEach(({ fingerprint, agoMs }) => {
       const isNew = evidence.recordSuccess(fingerprint, now - agoMs);
@@ -218,15 +218,15 @@
         hasSucceeded = true;
       };
       return {
-        noteNotRun: () => {
+        recordNotRun: () => {
           isRefused = true;
           attempt.recordSurvived();
         },
-        noteEvent: () => {
+        recordEvent: () => {
           firstEventAt ??= clock.monotonic();
           if (!hasSucceeded && elapsedSince(firstEventAt) >= SUCCESS_AFTER_MS) markSucceeded();
         },
-        noteWhole: markSucceeded,
+        complete: markSucceeded,
         hasSurvived: () => hasSucceeded || isRefused,
         end: () => {
           attempt.end();
@@ -236,13 +236,13 @@
         },
       };
     },
-    noteEnded: (upstream, proof) => {
+    handleEnd: (upstream, proof) => {
       const crashed = attempts.handleUpstreamEnded(startId(upstream));
       if (crashed.length === 0) return;
       log.event('upstream-ended', { upstream: startId(upstream), proof, underWay: crashed.length });
       crashed.forEach(handleCrash);
     },
-    takeNews: (peer, value) => {
+    handlePeerUpdate: (peer, value) => {
       const update = readQuarantineUpdate(value);
       if (update) applyPeerUpdate(peer, update);
       else {
@@ -251,7 +251,7 @@
       }
     },
     forgetPeer: trials.forgetPeer,
-    whole: () => {
+    fullUpdate: () => {
       const fingerprints = evidence.fingerprints().slice(-MAX_REPORTS_PER_NOTE);
       const crashes = fingerprints.flatMap((fingerprint) =>
         (evidence.suspectRecord(fingerprint)?.crashes ?? []).map((crash) =>
@@ -265,7 +265,7 @@
         quarantined,
       };
     },
-    takeRecord: ({ key, value }) => {
+    applyRecord: ({ key, value }) => {
       if (value === undefined) {
         recorded.delete(key);
         outdatedRecords.delete(key);
@@ -293,7 +293,7 @@
       if (isInForce && change.verdict !== 'quarantined') outdatedRecords.add(key);
       else outdatedRecords.delete(key);
     },
-    noteRestored: (lost, source) => {
+    handleRestored: (lost, source) => {
       lost.forEach((key) => recorded.delete(key));
       // The entry that read the restored log from the platform writes at once; the others only if it couldn't.
       if (source === 'log') rewriteRecords();
--- a/packages/gateway/src/retry/budget.ts
+++ b/packages/gateway/src/retry/budget.ts
@@ -5,7 +5,7 @@
 /** This entry's share of the retries that all entries together may send to one service. */
 export interface RetryBudget {
   /** Records a request from a caller. */
-  noteRequest(service: string): void;
+  recordRequest(service: string): void;
   /** Takes one retry from the budget; false when it is exhausted. */
   take(service: string): boolean;
 }
@@ -59,7 +59,7 @@
   };
 
   return {
-    noteRequest: (service) => {
+    recordRequest: (service) => {
       usageOf(service).requests.push(clock.monotonic());
     },
     take: (service) => {
--- a/packages/gateway/src/serving/attempt.ts
+++ b/packages/gateway/src/serving/attempt.ts
@@ -3,8 +3,8 @@
 import type { IncomingMessage } from 'node:http';
 import { startExchange } from '../attempts/exchange.js';
 import type { Exchange } from '../attempts/exchange.js';
-import type { AnswerFields } from '../types.js';
-import type { QuarantineRun } from '../quarantine/index.js';
+import type { ResponseFields } from '../types.js';
+import type { MonitoredAttempt } from '../quarantine/index.js';
 import type { Upstream } from '../upstreams/upstream.js';
 import type { CallerRequest, ServingDeps } from './types.js';
 
@@ -19,7 +19,7 @@
 export interface AttemptResponse {
   outcome: 'answered';
   res: IncomingMessage;
-  fields: AnswerFields;
+  fields: ResponseFields;
   status: number;
 }
 
@@ -30,7 +30,7 @@
   bodyEnd: Exchange['bodyEnd'];
   readBody: Exchange['readBody'];
   /** Reports to the quarantine how this attempt ends. */
-  run: QuarantineRun;
+  run: MonitoredAttempt;
   abort(): void;
   /** Ends the attempt: frees the upstream's slot and closes the connection. */
   end(): void;
@@ -81,7 +81,7 @@
     clock,
   );
   upstream.begin();
-  rateLimits.noteSent(upstream);
+  rateLimits.recordSent(upstream);
   const run = deps.quarantine.begin(request.fingerprint, record);
   metrics.count('gateway_attempts', { service: record.service });
   let ended = false;
@@ -89,18 +89,18 @@
   const fail = (failure: AttemptFailure): AttemptFailure => {
     const kind = failure.outcome === 'not-run' && !failure.wasSent ? 'unreachable' : 'failed';
     // An attempt that was aborted here says nothing about its upstream.
-    if (!ended) upstream.noteFailure(kind);
-    if (failure.outcome === 'not-run') run.noteNotRun();
+    if (!ended) upstream.recordFailure(kind);
+    if (failure.outcome === 'not-run') run.recordNotRun();
     return failure;
   };
 
   const classifyResponse = (res: IncomingMessage): AttemptResponse | AttemptFailure => {
-    const fields = dialect.readAnswer(res.headers);
+    const fields = dialect.readResponse(res.headers);
     const status = res.statusCode ?? 0;
     // A response by another instance at this address says nothing about this one.
     if (status !== 421) {
       const { rateLimit: perSecond, hasReceipt: hasRun } = fields;
-      rateLimits.noteAnswer(upstream, {
+      rateLimits.recordResponse(upstream, {
         requestId: request.id,
         perSecond,
         sentAt: startedAt,
@@ -113,7 +113,7 @@
       // Another instance has the address: this one has exited, though its entry stays in the list for some seconds.
       if (status === 421) {
         deps.directory.recordReplaced(upstream);
-        deps.quarantine.noteEnded(record, 'other-instance');
+        deps.quarantine.handleEnd(record, 'other-instance');
       } else upstream.recordRefusal();
       return fail({ outcome: 'not-run', why: `status-${status}`, wasSent: true });
     }
@@ -131,7 +131,7 @@
   const head = exchange.head.then((outcome) => {
     if (outcome.outcome === 'head') return classifyResponse(outcome.res);
     if (outcome.outcome === 'not-sent') {
-      if (outcome.why === 'ECONNREFUSED') deps.quarantine.noteEnded(record, 'refused-connection');
+      if (outcome.why === 'ECONNREFUSED') deps.quarantine.handleEnd(record, 'refused-connection');
       return fail({ outcome: 'not-run', why: outcome.why, wasSent: false });
     }
     return fail({ outcome: 'unknown', why: outcome.why });
--- a/packages/gateway/src/serving/retry-loop.ts
+++ b/packages/gateway/src/serving/retry-loop.ts
@@ -85,7 +85,7 @@
   deps: ServingDeps,
 ): RetryLoop => {
   const { route, res, service } = request;
-  const { clock, directory, budget, reopening, quarantine, metrics, log } = deps;
+  const { clock, directory, budget, outages: reopening, quarantine, metrics, log } = deps;
   const { mayRepeat } = options;
   const tried = new Set<string>();
   let current: Attempt | undefined;
@@ -119,10 +119,10 @@
 
   /** Records what the end of an attempt shows about the availability of the service. */
   const updateAvailability = (hasAnswered: boolean, upstream: Upstream): void => {
-    if (hasAnswered) reopening.noteAnswer(service);
-    else if (!upstream.isRefusing()) reopening.noteNothing(service);
-    else if (reopening.isClosed(service) || directory.isRefusing(service)) {
-      reopening.noteRefusing(service);
+    if (hasAnswered) reopening.recordAnswer(service);
+    else if (!upstream.isRefusing()) reopening.recordInconclusive(service);
+    else if (reopening.isUnavailable(service) || directory.isRefusing(service)) {
+      reopening.recordRefusal(service);
     }
   };
 
@@ -143,7 +143,7 @@
     const outcome = head.outcome === 'answered' ? await handleResponse(attempt, head) : head;
     stopTimer();
     stopWatch();
-    if (outcome.outcome === 'whole' || outcome.outcome === 'streamed') attempt.run.noteWhole();
+    if (outcome.outcome === 'whole' || outcome.outcome === 'streamed') attempt.run.complete();
     const isAbandoned = isDisconnected || isExpired || isMoving;
     const hasFailed = !isAbandoned && !attempt.run.hasSurvived();
     attempt.end();
@@ -153,7 +153,7 @@
     lastEndedAt = clock.monotonic();
     updateAvailability(head.outcome === 'answered', upstream);
     if (head.outcome === 'answered' && !isAbandoned) {
-      if (isUpstreamFault(outcome)) upstream.noteFailure('failed');
+      if (isUpstreamFault(outcome)) upstream.recordFailure('failed');
       else upstream.recordSuccess();
     }
     log.event('attempt', {
@@ -173,7 +173,7 @@
   const recordOutcome = (outcome: AttemptOutcome): void => {
     if (outcome.outcome === 'not-run') {
       progress.notRuns += 1;
-      if (reopening.isClosed(service)) probes += 1;
+      if (reopening.isUnavailable(service)) probes += 1;
       if (!outcome.wasSent) progress.unsent += 1;
     } else {
       progress.runs += 1;
--- a/packages/gateway/src/serving/serve-request.ts
+++ b/packages/gateway/src/serving/serve-request.ts
@@ -173,7 +173,7 @@
       sendRefusal({ reason: 'body-too-large', status: 413 }, request.route);
       return;
     }
-    budget.noteRequest(request.service);
+    budget.recordRequest(request.service);
     const fullRequest = {
       ...request,
       body: body.body,
@@ -194,7 +194,7 @@
     const refusal = mayProceed ? admit(request) : notRun('upstreams-refusing', random);
     if (refusal) {
       const limit = admission.limit(request.service);
-      const pause = admission.pace(request.service).pause(0.75);
+      const pause = admission.eventTimings(request.service).pauseQuantile(0.75);
       sendRefusal(refusal, request.route, { limit, pause, isReturn: request.isReturn });
       return;
     }
--- a/packages/gateway/src/serving/serve-stream.ts
+++ b/packages/gateway/src/serving/serve-stream.ts
@@ -31,7 +31,7 @@
 export const serveStream = (request: CallerRequest, deps: ServingDeps): Promise<void> => {
   const { route, res, service } = request;
   const { clock, metrics, log, admission, directory } = deps;
-  const pace = admission.pace(service);
+  const pace = admission.eventTimings(service);
   let lastEventAt: number | undefined;
   /** When the current attempt was sent (monotonic, ms); undefined once it has had an event. */
   let firstEventAwaitedSince: number | undefined;
@@ -53,12 +53,12 @@
       const quiet = clock.monotonic() - Math.max(sentAt, lastEventAt ?? sentAt);
       if (moveIfStraggler(attempt, tryMove)) return;
       const isAwaited = firstEventAwaitedSince !== undefined;
-      const limitMs = isAwaited ? pace.firstLimit() : EVENT_TIMEOUT_MS;
-      if (quiet > limitMs && pace.silence() < OTHERS_ACTIVE_MS && route.resumable) {
-        const inputs = { quiet, limitMs, isAwaited, othersMs: pace.silence() };
+      const limitMs = isAwaited ? pace.firstEventTimeoutMs() : EVENT_TIMEOUT_MS;
+      if (quiet > limitMs && pace.silenceMs() < OTHERS_ACTIVE_MS && route.resumable) {
+        const inputs = { quiet, limitMs, isAwaited, othersMs: pace.silenceMs() };
         log.event('upstream-silent', { id: request.id, ...inputs });
-        if (isAwaited) pace.noteNone(quiet);
-        attempt.upstream.noteFailure('unreachable');
+        if (isAwaited) pace.recordTimeout(quiet);
+        attempt.upstream.recordFailure('unreachable');
         attempt.abort();
         return;
       }
@@ -87,12 +87,12 @@
 
   const recordEventTime = (): void => {
     const now = clock.monotonic();
-    if (firstEventAwaitedSince !== undefined) pace.noteFirst(now - firstEventAwaitedSince);
+    if (firstEventAwaitedSince !== undefined) pace.recordFirstEvent(now - firstEventAwaitedSince);
     firstEventAwaitedSince = undefined;
     if (lastEventAt === undefined) {
       metrics.record('gateway_first_event_ms', now - request.arrivedAt);
     } else {
-      pace.notePause(now - lastEventAt);
+      pace.recordPause(now - lastEventAt);
       metrics.record('gateway_pause_ms', now - lastEventAt);
     }
     lastEventAt = now;
@@ -110,7 +110,7 @@
       if (event.id > lastEventId + 1) return false;
     }
     recordEventTime();
-    attempt.run.noteEvent();
+    attempt.run.recordEvent();
     if (event.id !== undefined) loop.resumeAfter = event.id;
     // The head is sent with the first event only: until then a failure can be answered with an error status.
     if (!res.headersSent) sendHead(res, response.status, endToEnd(response.res), deps.isStopping());
--- a/packages/gateway/src/serving/types.ts
+++ b/packages/gateway/src/serving/types.ts
@@ -1,7 +1,7 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Clock, EventLog, Metrics, Random } from '@plantaindrum/common';
 import type { Admission } from '../admission/admission.js';
-import type { Reopening } from '../admission/reopening.js';
+import type { ServiceOutages } from '../admission/reopening.js';
 import type { RouteTable } from '../intent/route-table.js';
 import type { RequestQuarantine } from '../quarantine/index.js';
 import type { RetryBudget } from '../retry/budget.js';
@@ -16,7 +16,7 @@
   admission: Admission;
   budget: RetryBudget;
   rateLimits: RateLimits;
-  reopening: Reopening;
+  outages: ServiceOutages;
   quarantine: RequestQuarantine;
   /** Checks whether the upstream's process has exited, after an attempt there failed without a response. */
   checkExit: (upstream: UpstreamRecord) => Promise<void>;
--- a/packages/gateway/src/serving/wait-for-service.ts
+++ b/packages/gateway/src/serving/wait-for-service.ts
@@ -15,16 +15,16 @@
   waitStartedAt: number,
   deps: ServingDeps,
 ): Promise<boolean> => {
-  const { reopening, directory } = deps;
+  const { outages: reopening, directory } = deps;
   const { service } = request;
-  if (!reopening.isClosed(service)) return true;
+  if (!reopening.isUnavailable(service)) return true;
   const outcome = await reopening.wait(service, {
-    isLastTry: request.isReturn || request.fields.lastEventId !== undefined,
+    isLastAttempt: request.isReturn || request.fields.lastEventId !== undefined,
     until: Math.min(waitStartedAt + MAX_WAIT_MS, request.deadlineAt),
     urgency: urgencyOf(request),
     // One prompt per engine, over all entries, is processed within one pass. More at once, with the unbalanced
     // expert map that a group starts with, caused passes of 200 ms for three seconds.
-    room: Math.ceil(directory.usable(service).length / deps.entries()),
+    maxWaiting: Math.ceil(directory.usable(service).length / deps.entries()),
   });
   return outcome === 'open' || outcome === 'ask';
 };
--- a/packages/gateway/src/types.ts
+++ b/packages/gateway/src/types.ts
@@ -6,7 +6,7 @@
 export type RouteKind = 'safe' | 'unsafe' | 'stream';
 
 /** A service with its weight among the services of a route. */
-export interface ServiceShare {
+export interface WeightedService {
   service: string;
   /** Relative to the weights of the route's other services. */
   weight: number;
@@ -33,11 +33,11 @@
   maxAttempts: number;
   /** Whether callers without an API key are served. */
   anonymous: boolean;
-  services: readonly ServiceShare[];
+  services: readonly WeightedService[];
 }
 
 /** Number and size of the experts of a service's model engines, and their capacity for replicas. */
-export interface EngineShape {
+export interface ExpertLayout {
   /** Sets of layers that share one placement of experts; 0 for an engine without experts. */
   sets: number;
   /** Experts in each set. */
@@ -59,7 +59,7 @@
   name: string;
   /** Maximum number of connections that one upstream accepts from all entries together. */
   maxConnections: number;
-  engine: EngineShape | undefined;
+  engine: ExpertLayout | undefined;
 }
 
 /** Limits on what a caller may send, and how long it may take. */
@@ -114,7 +114,7 @@
 }
 
 /** Why an entry of the platform's list is invalid: its bytes, or one invalid field. */
-export type UpstreamFault = keyof UpstreamRecord | 'bytes' | 'software';
+export type UpstreamRecordFault = keyof UpstreamRecord | 'bytes' | 'software';
 
 /** What a caller's header fields say. */
 export interface CallerFields {
@@ -128,7 +128,7 @@
 }
 
 /** What the header fields of an upstream's response say. */
-export interface AnswerFields {
+export interface ResponseFields {
   requestId: string | undefined;
   /** The upstream states that it did not run the request and won't. */
   notRun: boolean;
@@ -161,5 +161,5 @@
   readCaller(headers: NodeJS.Dict<string | string[]>): CallerFields;
   /** The caller's headers, with those of the connection and of the gateway replaced. */
   writeAttempt(headers: RawHeaders, fields: AttemptFields, bodyBytes: number): string[];
-  readAnswer(headers: NodeJS.Dict<string | string[]>): AnswerFields;
+  readResponse(headers: NodeJS.Dict<string | string[]>): ResponseFields;
 }
--- a/packages/gateway/src/upstreams/choice.ts
+++ b/packages/gateway/src/upstreams/choice.ts
@@ -38,7 +38,7 @@
  * Returns the index of the selected candidate, -1 where there is none. `concurrentArrivals` is the number of requests
  * that other entries are expected to send in the meantime.
  */
-export const pickOffer = (
+export const selectCandidate = (
   candidates: readonly Candidate[],
   concurrentArrivals: number,
   random: Random,
--- a/packages/gateway/src/upstreams/cost.ts
+++ b/packages/gateway/src/upstreams/cost.ts
@@ -14,5 +14,5 @@
   const { record } = upstream;
   const remote = record.dataCentre === dataCentre ? 0 : REMOTE_PENALTY;
   const warming = record.warmupLeftMs > 0 ? WARMUP_PENALTY : 0;
-  return upstream.costOfNext() + remote + warming + upstream.failureRate() * FAILURE_PENALTY;
+  return upstream.loadScoreOfNext() + remote + warming + upstream.failureRate() * FAILURE_PENALTY;
 };
--- a/packages/gateway/src/upstreams/directory.ts
+++ b/packages/gateway/src/upstreams/directory.ts
@@ -2,15 +2,15 @@
 
 import type { Clock, EventLog, Metrics, Random, Result } from '@plantaindrum/common';
 import type { KeyedChange } from '@plantaindrum/mirror';
-import type { EnginePace } from '../mesh/engine-pace.js';
-import type { LoadShare } from '../mesh/load-share.js';
-import type { UpstreamFault, UpstreamRecord } from '../types.js';
+import type { EngineSlowdown } from '../mesh/engine-pace.js';
+import type { LoadUpdate } from '../mesh/load-share.js';
+import type { UpstreamRecordFault, UpstreamRecord } from '../types.js';
 import { createPeerArrivals } from './arrivals.js';
-import { pickOffer } from './choice.js';
+import { selectCandidate } from './choice.js';
 import { loadScoreOf } from './cost.js';
 import { createInvalidEntryRecorder } from './invalid-entries.js';
 import { createKnownStarts } from './known-starts.js';
-import { withoutSlow } from './slow-upstreams.js';
+import { withoutStragglers } from './slow-upstreams.js';
 import { createUpstream } from './upstream.js';
 import type { Upstream } from './upstream.js';
 
@@ -43,9 +43,9 @@
   /** Whether more than `REFUSING_FRACTION` of a service's upstreams have just refused to run a request. */
   isRefusing(service: string): boolean;
   /** Records the slowdown that the agent beside the upstream at this address reports. */
-  recordSlowdown(pace: EnginePace): void;
+  recordSlowdown(pace: EngineSlowdown): void;
   /** Applies the load update of another entry: its requests at the upstreams. */
-  applyPeerLoad(peer: string, share: LoadShare): void;
+  applyPeerLoad(peer: string, share: LoadUpdate): void;
   /** Records that another instance responded at this one's address. */
   recordReplaced(upstream: Upstream): void;
   /** All upstreams that are known, including those whose entry has lapsed recently. */
@@ -56,7 +56,7 @@
 export type DecodeUpstream = (
   key: string,
   value: Uint8Array,
-) => Result<UpstreamRecord, UpstreamFault>;
+) => Result<UpstreamRecord, UpstreamRecordFault>;
 
 /** Options of `createDirectory`. */
 export interface DirectoryOptions {
@@ -203,7 +203,7 @@
     return ready.length > 0 ? ready : lapsedOf(service);
   };
 
-  const preferred = (service: string): Upstream[] => withoutSlow(usable(service));
+  const preferred = (service: string): Upstream[] => withoutStragglers(usable(service));
 
   const isAvailable = ({ rate, record, total }: Upstream): boolean =>
     rate.waitMs() === 0 && total() < options.maxConnections(record.service);
@@ -213,7 +213,7 @@
       cost: loadScoreOf(upstream, dataCentre),
       free: upstream.record.slots - upstream.total(),
     }));
-    return upstreams[pickOffer(candidates, arrivals.unreported(service), random)];
+    return upstreams[selectCandidate(candidates, arrivals.unreported(service), random)];
   };
 
   return {
@@ -272,7 +272,7 @@
         .filter(({ record }) => record.startedAt <= startedAt)
         .forEach((upstream) => {
           const before = upstream.slowdown();
-          upstream.notePace(pace);
+          upstream.recordSlowdown(pace);
           if (upstream.slowdown() !== before) slowdownListeners.forEach((listener) => listener());
         });
     },
@@ -280,7 +280,7 @@
       listed.forEach((upstream, instance) => {
         const count = counts[instance] ?? (isWhole ? 0 : undefined);
         if (count !== undefined) {
-          arrivals.record(upstream.record.service, upstream.notePeer(peer, count));
+          arrivals.record(upstream.record.service, upstream.recordPeerInFlight(peer, count));
         }
       });
     },
--- a/packages/gateway/src/upstreams/invalid-entries.ts
+++ b/packages/gateway/src/upstreams/invalid-entries.ts
@@ -1,10 +1,14 @@
 /** Reports invalid entries of the platform's list: counts each of them, and logs each distinct one once. */
 
 import type { EventLog, Metrics } from '@plantaindrum/common';
-import type { UpstreamFault } from '../types.js';
+import type { UpstreamRecordFault } from '../types.js';
 
 /** Counts and logs an invalid entry. */
-export type RecordInvalidEntry = (key: string, value: Uint8Array, fault: UpstreamFault) => void;
+export type RecordInvalidEntry = (
+  key: string,
+  value: Uint8Array,
+  fault: UpstreamRecordFault,
+) => void;
 
 /**
  * Maximum number of distinct entries that are logged; further ones are only counted. This bounds the log if the content
--- a/packages/gateway/src/upstreams/rate-limits.ts
+++ b/packages/gateway/src/upstreams/rate-limits.ts
@@ -3,7 +3,7 @@
  */
 
 import type { EventLog, Metrics } from '@plantaindrum/common';
-import type { RateNews } from '../mesh/rate-news.js';
+import type { RateLimitUpdate } from '../mesh/rate-news.js';
 import type { Upstream } from './upstream.js';
 
 /** What a response says about the rate limit of its upstream. */
@@ -20,27 +20,27 @@
 /** The limits of all upstreams, shared with the other entries. */
 export interface RateLimits {
   /** Applies what a response says about the limit. */
-  noteAnswer(upstream: Upstream, response: ResponseLimit): void;
+  recordResponse(upstream: Upstream, response: ResponseLimit): void;
   /** Records that this entry sends a request to the upstream. */
-  noteSent(upstream: Upstream): void;
+  recordSent(upstream: Upstream): void;
   /** Applies the update of another entry. */
-  takeNews(peer: string, update: RateNews): void;
+  applyUpdate(peer: string, update: RateLimitUpdate): void;
   /** All known limits, for an entry that has just connected. */
-  whole(): RateNews;
+  snapshot(): RateLimitUpdate;
 }
 
 /** Options of `createRateLimits`. */
 export interface RateLimitsOptions {
   upstreams: () => readonly Upstream[];
   /** Sends an update to all other entries. */
-  tell: (update: RateNews) => void;
+  broadcast: (update: RateLimitUpdate) => void;
   metrics: Metrics;
   log: EventLog;
 }
 
 /** Creates the rate limits of an entry that knows none. */
 export const createRateLimits = (options: RateLimitsOptions): RateLimits => {
-  const { upstreams, tell: broadcast, metrics, log } = options;
+  const { upstreams, broadcast, metrics, log } = options;
 
   const logChange = (
     { record, rate }: Upstream,
@@ -64,7 +64,7 @@
       .forEach(run);
 
   return {
-    noteAnswer: (upstream, { requestId, perSecond, sentAt, hasRun }) => {
+    recordResponse: (upstream, { requestId, perSecond, sentAt, hasRun }) => {
       const { rate, record } = upstream;
       if (perSecond === undefined && !hasRun) return;
       const before = rate.perSecond();
@@ -74,14 +74,14 @@
       const { instance, startedAt } = record;
       broadcast({ limits: [{ instance, startedAt, perSecond: perSecond ?? null }], sent: [] });
     },
-    noteSent: ({ rate, record }) => {
+    recordSent: ({ rate, record }) => {
       if (rate.perSecond() === undefined) return;
       rate.spend(1);
       metrics.count('gateway_attempts_rate_limited', { service: record.service });
       const { instance, startedAt } = record;
       broadcast({ limits: [], sent: [{ instance, startedAt, requests: 1 }] });
     },
-    takeNews: (peer, { limits, sent }) => {
+    applyUpdate: (peer, { limits, sent }) => {
       limits.forEach((limit) => {
         withUpstream(limit, (upstream) => {
           const before = upstream.rate.perSecond();
@@ -94,7 +94,7 @@
       });
       sent.forEach((request) => withUpstream(request, ({ rate }) => rate.spend(request.requests)));
     },
-    whole: () => ({
+    snapshot: () => ({
       limits: upstreams().flatMap(({ rate, record: { instance, startedAt } }) => {
         const perSecond = rate.perSecond();
         return perSecond === undefined ? [] : [{ instance, startedAt, perSecond }];
--- a/packages/gateway/src/upstreams/slow-upstreams.ts
+++ b/packages/gateway/src/upstreams/slow-upstreams.ts
@@ -41,7 +41,7 @@
 type SlowdownSource = Pick<Upstream, 'slowdown' | 'total' | 'record'>;
 
 /** Returns the upstreams that new requests are sent to: all except stragglers. */
-export const withoutSlow = <U extends SlowdownSource>(upstreams: readonly U[]): U[] => {
+export const withoutStragglers = <U extends SlowdownSource>(upstreams: readonly U[]): U[] => {
   if (upstreams.every((upstream) => upstream.slowdown() === 1)) return [...upstreams];
   const measured = upstreams.map(({ slowdown, record }) => ({
     slowdown: slowdown(),
--- a/packages/gateway/src/upstreams/upstream.ts
+++ b/packages/gateway/src/upstreams/upstream.ts
@@ -16,7 +16,7 @@
   /** Counts a request of this entry as ended. */
   end(): void;
   /** Sets the number of another entry's requests at the upstream; returns by how many it has grown. */
-  notePeer(peer: string, inFlight: number): number;
+  recordPeerInFlight(peer: string, inFlight: number): number;
   /** Drops the requests of another entry that has disconnected. */
   forgetPeer(peer: string): void;
   /** All requests known to be at the upstream, including those that it reports, divided by its slots. */
@@ -24,18 +24,18 @@
   /** Requests of all entries that are known to be in flight at the upstream. */
   total(): number;
   /** Records the slowdown that the upstream's agent reports. */
-  notePace(pace: number): void;
+  recordSlowdown(pace: number): void;
   /** Time of its work relative to the baseline; 1 unless its agent has recently reported a slowdown. */
   slowdown(): number;
   /** Load with one more request, multiplied by the slowdown. */
-  costOfNext(): number;
+  loadScoreOfNext(): number;
   /** Records the running and waiting requests that the upstream reports. */
   recordLoad(running: number, waiting: number): void;
   /** The rate limit that it advertises for all entries together. */
   readonly rate: RateLimit;
   /** Record the outcome of an attempt, for the upstream's health. */
   recordSuccess(): void;
-  noteFailure(kind: 'unreachable' | 'failed' | 'refused'): void;
+  recordFailure(kind: 'unreachable' | 'failed' | 'refused'): void;
   /** Records that the upstream refused a request without running it. */
   recordRefusal(): void;
   /** Whether it has just refused a request, and has answered none since. */
@@ -118,15 +118,15 @@
     end: () => {
       localInFlight -= 1;
     },
-    notePeer: setPeerInFlight,
+    recordPeerInFlight: setPeerInFlight,
     forgetPeer: (peer) => {
       setPeerInFlight(peer, 0);
     },
     total,
     load,
-    notePace: slowdownTracker.record,
+    recordSlowdown: slowdownTracker.record,
     slowdown: slowdownTracker.slowdown,
-    costOfNext: () => (load() + 1 / Math.max(1, record.slots)) * slowdownTracker.slowdown(),
+    loadScoreOfNext: () => (load() + 1 / Math.max(1, record.slots)) * slowdownTracker.slowdown(),
     recordLoad: (running, waiting) => {
       reportedLoad = { at: clock.monotonic(), excess: Math.max(0, running + waiting - total()) };
     },
@@ -140,7 +140,7 @@
       failureRate *= 1 - OUTCOME_WEIGHT;
       if (clock.monotonic() > suspectUntil) suspectBackoffMs = SUSPECT_BACKOFF_MS;
     },
-    noteFailure: (kind) => {
+    recordFailure: (kind) => {
       failureRate += (1 - failureRate) * OUTCOME_WEIGHT;
       if (kind === 'unreachable' || failureRate > SUSPECT_FAILURE_RATE) markSuspect();
     },
--- a/packages/gateway/test/directory.test.ts
+++ b/packages/gateway/test/directory.test.ts
@@ -104,7 +104,7 @@
     putRecord(first);
     const before = directory.select('s', new Set());
     before?.begin();
-    [1, 2, 3, 4].forEach(() => before?.noteFailure('failed'));
+    [1, 2, 3, 4].forEach(() => before?.recordFailure('failed'));
     directory.recordSlowdown({ host: first.host, port: first.port, startedAt: 1_000, pace: 9 });
     if (before) directory.recordReplaced(before);
     expect(selected()).to.equal(undefined);
@@ -112,9 +112,9 @@
     const now = directory.select('s', new Set());
     expect(now?.isSuspect()).to.equal(false);
     expect(now?.total()).to.equal(0);
-    expect(now?.costOfNext()).to.equal(1 / first.slots);
+    expect(now?.loadScoreOfNext()).to.equal(1 / first.slots);
     directory.recordSlowdown({ host: first.host, port: first.port, startedAt: 1_000, pace: 9 });
-    expect(now?.costOfNext()).to.equal(1 / first.slots);
+    expect(now?.loadScoreOfNext()).to.equal(1 / first.slots);
   });
 
   // A heartbeat of the earlier start is delayed and arrives after one of the later start. If it were applied, a
--- a/packages/gateway/test/limits.test.ts
+++ b/packages/gateway/test/limits.test.ts
@@ -71,7 +71,7 @@
 
   it('grows with the number of requests and recovers after the window', async () => {
     const { clock, budget } = create(4);
-    for (let n = 0; n < 100; n += 1) budget.noteRequest('s');
+    for (let n = 0; n < 100; n += 1) budget.recordRequest('s');
     expect(takeAll(budget)).to.equal(28);
     expect(budget.take('other')).to.equal(true);
     await clock.advance(10_001);
@@ -103,12 +103,12 @@
     for (let n = 0; n < 9; n += 1) upstream.begin();
     admission.decide(streamRequest, [upstream]);
     await clock.advance(200);
-    for (let n = 0; n < 10; n += 1) admission.pace('s').notePause(300);
+    for (let n = 0; n < 10; n += 1) admission.eventTimings('s').recordPause(300);
     const decision = admission.decide(streamRequest, [upstream]);
     expect(decision).to.deep.equal({ admitted: false, reason: 'pace-too-slow' });
     const lowered = admission.limit('s') ?? 0;
     await clock.advance(1_000);
-    for (let n = 0; n < 10; n += 1) admission.pace('s').notePause(40);
+    for (let n = 0; n < 10; n += 1) admission.eventTimings('s').recordPause(40);
     admission.decide(streamRequest, [upstream]);
     expect(admission.limit('s')).to.be.above(lowered);
   });
@@ -121,7 +121,7 @@
     for (let n = 0; n < 8; n += 1) upstream.begin();
     admission.decide(request, [upstream]);
     for (let n = 0; n < 5; n += 1) {
-      for (let pause = 0; pause < 10; pause += 1) admission.pace('s').notePause(400);
+      for (let pause = 0; pause < 10; pause += 1) admission.eventTimings('s').recordPause(400);
       await clock.advance(200);
       expect(admission.decide(request, [upstream]).admitted).to.equal(true);
     }
@@ -131,7 +131,7 @@
   it('keeps within the connections that an upstream accepts from all entries', () => {
     const { upstream, admission } = create();
     const request = { ...streamRequest, targetPauseMs: undefined, maxConnections: 3 };
-    upstream.notePeer('other', 2);
+    upstream.recordPeerInFlight('other', 2);
     expect(admission.decide(request, [upstream]).admitted).to.equal(true);
     upstream.begin();
     const decision = admission.decide(request, [upstream]);
@@ -140,7 +140,7 @@
 
   it('counts the requests of other entries at an upstream', () => {
     const { upstream, admission } = create();
-    upstream.notePeer('other', 10);
+    upstream.recordPeerInFlight('other', 10);
     expect(admission.decide(streamRequest, [upstream]).admitted).to.equal(false);
     upstream.forgetPeer('other');
     expect(admission.decide(streamRequest, [upstream]).admitted).to.equal(true);
@@ -153,11 +153,11 @@
   it('is suspect when it cannot be reached, for longer each time', async () => {
     const clock = createManualClock();
     const upstream = createUpstream(record, clock);
-    upstream.noteFailure('unreachable');
+    upstream.recordFailure('unreachable');
     expect(upstream.isSuspect()).to.equal(true);
     await clock.advance(401);
     expect(upstream.isSuspect()).to.equal(false);
-    upstream.noteFailure('unreachable');
+    upstream.recordFailure('unreachable');
     await clock.advance(401);
     expect(upstream.isSuspect()).to.equal(true);
   });
@@ -167,23 +167,23 @@
   it('has a higher load score while its agent reports a slowdown', async () => {
     const clock = createManualClock();
     const upstream = createUpstream(record, clock);
-    const baseline = upstream.costOfNext();
-    upstream.notePace(4);
-    expect(upstream.costOfNext()).to.equal(4 * baseline);
+    const baseline = upstream.loadScoreOfNext();
+    upstream.recordSlowdown(4);
+    expect(upstream.loadScoreOfNext()).to.equal(4 * baseline);
     await clock.advance(2_499);
-    expect(upstream.costOfNext()).to.equal(4 * baseline);
+    expect(upstream.loadScoreOfNext()).to.equal(4 * baseline);
     await clock.advance(2);
-    expect(upstream.costOfNext()).to.equal(baseline);
+    expect(upstream.loadScoreOfNext()).to.equal(baseline);
   });
 
   // Three failures in a row make an upstream suspect as well. The failure share is averaged over several attempts, so
   // that an occasional success doesn't make a failing upstream look healthy.
   it('is suspect after several failures but not after one', () => {
     const upstream = createUpstream(record, createManualClock());
-    upstream.noteFailure('failed');
+    upstream.recordFailure('failed');
     expect(upstream.isSuspect()).to.equal(false);
-    upstream.noteFailure('failed');
-    upstream.noteFailure('failed');
+    upstream.recordFailure('failed');
+    upstream.recordFailure('failed');
     expect(upstream.isSuspect()).to.equal(true);
   });
 });
--- a/packages/gateway/test/load-share.test.ts
+++ b/packages/gateway/test/load-share.test.ts
@@ -1,16 +1,16 @@
 import { expect } from 'chai';
 import { createManualClock } from '@plantaindrum/common';
-import { createLoadTeller, readLoadUpdate } from '../src/mesh/load-share.js';
-import type { LoadShare } from '../src/mesh/load-share.js';
+import { createLoadBroadcaster, readLoadUpdate } from '../src/mesh/load-share.js';
+import type { LoadUpdate } from '../src/mesh/load-share.js';
 
 describe('load updates between entries', () => {
   it('broadcasts changes, and a full update at longer intervals', async () => {
     const clock = createManualClock();
     const counts = new Map([['a', 1]]);
-    const updates: LoadShare[] = [];
-    const broadcaster = createLoadTeller({
+    const updates: LoadUpdate[] = [];
+    const broadcaster = createLoadBroadcaster({
       counts: () => new Map(counts),
-      tell: (update) => updates.push(update),
+      broadcast: (update) => updates.push(update),
       clock,
     });
     counts.set('b', 2);
@@ -21,7 +21,7 @@
     expect(updates).toMatchSnapshot();
     await clock.advance(1_200);
     expect(updates.at(-1)).to.deep.equal({ isWhole: true, counts: { b: 2 } });
-    expect(broadcaster.whole()).to.deep.equal({ isWhole: true, counts: { b: 2 } });
+    expect(broadcaster.fullUpdate()).to.deep.equal({ isWhole: true, counts: { b: 2 } });
     broadcaster.close();
   });
 
--- a/packages/gateway/test/quarantine-serving.test.ts
+++ b/packages/gateway/test/quarantine-serving.test.ts
@@ -1,12 +1,15 @@
 import { expect } from 'chai';
 import { resetConnection, startFakeUpstream, answerOk } from './support/fake-upstream.js';
-import type { Act, FakeUpstream } from './support/fake-upstream.js';
+import type { Handler, FakeUpstream } from './support/fake-upstream.js';
 import { startEntry } from './support/entry.js';
-import { stream, wait } from './support/with-entry.js';
+import { streamRoute, wait } from './support/with-entry.js';
 
 /** Simulates the crash of an upstream's process: its connections are reset, and refused from then on. */
-const crashOn = (isHarmful: (body: string) => boolean, upstreams: () => FakeUpstream[]): Act => {
-  const act: Act = (req, res) => {
+const crashOn = (
+  isHarmful: (body: string) => boolean,
+  upstreams: () => FakeUpstream[],
+): Handler => {
+  const act: Handler = (req, res) => {
     if (!isHarmful(req.body)) {
       answerOk()(req, res);
       return;
@@ -29,12 +32,12 @@
       () => upstreams,
     );
     for (let n = 0; n < 6; n += 1) upstreams.push(await startFakeUpstream(act));
-    const route = { ...stream, maxAttempts: 2 };
+    const route = { ...streamRoute, maxAttempts: 2 };
     const entry = await startEntry({ upstreams, route });
     try {
       const answers: number[] = [];
       for (let n = 0; n < 6; n += 1) {
-        const answer = await entry.ask({ 'x-id': `q${n}` }, '/p/x', 'harmful');
+        const answer = await entry.send({ 'x-id': `q${n}` }, '/p/x', 'harmful');
         answers.push(answer.status);
         await wait(250);
       }
@@ -42,11 +45,11 @@
       expect(crashed).to.have.lengthOf(3);
       // The last requests have not run: the status says so, and `retry-after` says when to retry.
       expect(answers.slice(-3)).to.deep.equal([503, 503, 503]);
-      const last = await entry.ask({ 'x-id': 'q9' }, '/p/x', 'harmful');
+      const last = await entry.send({ 'x-id': 'q9' }, '/p/x', 'harmful');
       expect(last.body).to.equal('quarantined\n');
       expect(last.ms).to.be.below(200);
       expect(Number(last.headers['retry-after'])).to.be.above(300);
-      expect((await entry.ask({ 'x-id': 'q10' }, '/p/x', 'other')).status).to.equal(200);
+      expect((await entry.send({ 'x-id': 'q10' }, '/p/x', 'other')).status).to.equal(200);
     } finally {
       await entry.close();
     }
--- a/packages/gateway/test/quarantine.test.ts
+++ b/packages/gateway/test/quarantine.test.ts
@@ -7,7 +7,7 @@
   countSuccessiveCrashes,
 } from '../src/quarantine/index.js';
 import type { CrashEvidence, RequestQuarantine } from '../src/quarantine/index.js';
-import type { News } from '../src/quarantine/news.js';
+import type { QuarantineUpdate } from '../src/quarantine/news.js';
 
 const fingerprint = (n: number): string => n.toString(16).padStart(32, '0');
 const HARMFUL = fingerprint(1);
@@ -123,17 +123,17 @@
 
 interface Node {
   quarantine: RequestQuarantine;
-  updates: News[];
+  updates: QuarantineUpdate[];
   records: Map<string, Uint8Array | undefined>;
 }
 
 const clockForNodes = () => createManualClock(5_000_000);
 
 const startNode = (clock = clockForNodes(), canPublish = () => true): Node => {
-  const updates: News[] = [];
+  const updates: QuarantineUpdate[] = [];
   const records = new Map<string, Uint8Array | undefined>();
   const quarantine = createQuarantine({
-    tell: (update) => updates.push(update),
+    broadcast: (update) => updates.push(update),
     publish: async (key, value) => {
       if (!canPublish()) return false;
       records.set(key, value);
@@ -154,7 +154,7 @@
   await clock.advance(20);
   attempt.end();
   await clock.advance(80);
-  node.quarantine.noteEnded(start(instance), 'refused-connection');
+  node.quarantine.handleEnd(start(instance), 'refused-connection');
   await clock.advance(100);
 };
 
@@ -162,8 +162,8 @@
 const recordAndDrop = async (node: Node, clock: ReturnType<typeof clockForNodes>) => {
   for (const instance of ['a', 'b', 'c']) await crashAt(node, clock, instance);
   const value = node.records.get(HARMFUL);
-  node.quarantine.takeRecord({ key: HARMFUL, value });
-  node.quarantine.takeRecord({ key: HARMFUL, value: undefined });
+  node.quarantine.applyRecord({ key: HARMFUL, value });
+  node.quarantine.applyRecord({ key: HARMFUL, value: undefined });
   return value;
 };
 
@@ -186,9 +186,9 @@
     const node = startNode(clock);
     node.quarantine.begin(HARMFUL, start('a')).end();
     await clock.advance(5_000);
-    node.quarantine.noteEnded(start('a'), 'started-again');
+    node.quarantine.handleEnd(start('a'), 'started-again');
     const open = node.quarantine.begin(HARMFUL, start('b'));
-    node.quarantine.noteEnded(start('b'), 'refused-connection');
+    node.quarantine.handleEnd(start('b'), 'refused-connection');
     open.end();
     await clock.advance(50);
     expect(
@@ -202,16 +202,16 @@
     const clock = clockForNodes();
     const node = startNode(clock);
     const shortStream = node.quarantine.begin(HARMFUL, start('a'));
-    shortStream.noteEvent();
+    shortStream.recordEvent();
     await clock.advance(30);
     shortStream.end();
-    node.quarantine.noteEnded(start('a'), 'refused-connection');
+    node.quarantine.handleEnd(start('a'), 'refused-connection');
     const longStream = node.quarantine.begin(fingerprint(2), start('b'));
-    longStream.noteEvent();
+    longStream.recordEvent();
     await clock.advance(600);
-    longStream.noteEvent();
+    longStream.recordEvent();
     longStream.end();
-    node.quarantine.noteEnded(start('b'), 'refused-connection');
+    node.quarantine.handleEnd(start('b'), 'refused-connection');
     await clock.advance(50);
     const reported = node.updates.flatMap(({ crashes }) =>
       crashes.map((crash) => crash.fingerprint),
@@ -226,7 +226,7 @@
     const attempts = Array.from({ length: 300 }, (_, n) =>
       node.quarantine.begin(fingerprint(n), start(`i${n % 60}`)),
     );
-    for (let n = 0; n < 60; n += 1) node.quarantine.noteEnded(start(`i${n}`), 'refused-connection');
+    for (let n = 0; n < 60; n += 1) node.quarantine.handleEnd(start(`i${n}`), 'refused-connection');
     attempts.forEach((attempt) => attempt.end());
     await clock.advance(1_000);
     const refused = attempts.filter(
@@ -241,16 +241,16 @@
     const [local, peer] = [startNode(clock), startNode(clock)];
     await crashAt(local, clock, 'a');
     await crashAt(local, clock, 'b');
-    local.updates.forEach((update) => peer.quarantine.takeNews('here', update));
+    local.updates.forEach((update) => peer.quarantine.handlePeerUpdate('here', update));
     const attempt = local.quarantine.begin(HARMFUL, start('c'));
     await clock.advance(50);
-    peer.quarantine.takeNews('here', local.updates.at(-1));
+    peer.quarantine.handlePeerUpdate('here', local.updates.at(-1));
     expect(local.quarantine.refusal(HARMFUL)).to.deep.equal({ reason: 'crash-suspect' });
     expect(peer.quarantine.refusal(HARMFUL)).to.deep.equal({ reason: 'crash-suspect' });
-    attempt.noteWhole();
+    attempt.complete();
     attempt.end();
     await clock.advance(50);
-    peer.quarantine.takeNews('here', local.updates.at(-1));
+    peer.quarantine.handlePeerUpdate('here', local.updates.at(-1));
     expect(local.quarantine.refusal(HARMFUL)).to.equal(undefined);
     expect(peer.quarantine.refusal(HARMFUL)).to.equal(undefined);
   });
@@ -263,16 +263,16 @@
     for (const [at, node] of nodes.entries()) {
       await crashAt(node, clock, `i${at}`);
       node.updates.forEach((update) =>
-        nodes.forEach((other) => other.quarantine.takeNews(`n${at}`, update)),
+        nodes.forEach((other) => other.quarantine.handlePeerUpdate(`n${at}`, update)),
       );
     }
     const [first] = nodes;
     const linkedLater = startNode(clock);
-    linkedLater.quarantine.takeNews('n0', first?.quarantine.whole());
+    linkedLater.quarantine.handlePeerUpdate('n0', first?.quarantine.fullUpdate());
     const startedLater = startNode(clock);
     const written = nodes.flatMap(({ records }) => [...records]);
     expect(written.map(([key]) => key)).to.deep.equal([HARMFUL]);
-    written.forEach(([key, value]) => startedLater.quarantine.takeRecord({ key, value }));
+    written.forEach(([key, value]) => startedLater.quarantine.applyRecord({ key, value }));
     const reasons = [...nodes, linkedLater, startedLater].map(
       ({ quarantine }) => quarantine.refusal(HARMFUL)?.reason,
     );
@@ -287,7 +287,9 @@
     const [killed, peer] = [startNode(clock, () => false), startNode(clock, () => isUp)];
     for (const instance of ['a', 'b', 'c']) {
       await crashAt(killed, clock, instance);
-      killed.updates.splice(0).forEach((update) => peer.quarantine.takeNews('dead', update));
+      killed.updates
+        .splice(0)
+        .forEach((update) => peer.quarantine.handlePeerUpdate('dead', update));
     }
     await clock.advance(5_000);
     expect(peer.records.size).to.equal(0);
@@ -305,8 +307,8 @@
     expect(node.quarantine.refusal(HARMFUL)).to.equal(undefined);
     // A peer's reports from before the deletion are outdated.
     const peer = startNode(clock);
-    node.updates.forEach((update) => peer.quarantine.takeNews('n', update));
-    node.quarantine.takeNews('p', peer.quarantine.whole());
+    node.updates.forEach((update) => peer.quarantine.handlePeerUpdate('n', update));
+    node.quarantine.handlePeerUpdate('p', peer.quarantine.fullUpdate());
     expect(node.quarantine.refusal(HARMFUL)).to.equal(undefined);
   });
 
@@ -317,18 +319,20 @@
     const [reader, peer] = [startNode(clock), startNode(clock)];
     for (const instance of ['a', 'b', 'c']) {
       await crashAt(reader, clock, instance);
-      reader.updates.splice(0).forEach((update) => peer.quarantine.takeNews('reader', update));
+      reader.updates
+        .splice(0)
+        .forEach((update) => peer.quarantine.handlePeerUpdate('reader', update));
     }
     const value = reader.records.get(HARMFUL);
     [reader, peer].forEach(({ quarantine, records }) => {
-      quarantine.takeRecord({ key: HARMFUL, value });
+      quarantine.applyRecord({ key: HARMFUL, value });
       records.clear();
     });
-    reader.quarantine.noteRestored([HARMFUL], 'log');
-    peer.quarantine.noteRestored([HARMFUL], 'peer');
+    reader.quarantine.handleRestored([HARMFUL], 'log');
+    peer.quarantine.handleRestored([HARMFUL], 'peer');
     await clock.advance(100);
     expect([...reader.records.keys()]).to.deep.equal([HARMFUL]);
-    peer.quarantine.takeRecord({ key: HARMFUL, value: reader.records.get(HARMFUL) });
+    peer.quarantine.applyRecord({ key: HARMFUL, value: reader.records.get(HARMFUL) });
     await clock.advance(5_000);
     expect([...peer.records.keys()]).to.deep.equal([]);
   });
@@ -337,9 +341,9 @@
     const clock = clockForNodes();
     const peer = startNode(clock);
     for (const instance of ['a', 'b', 'c']) await crashAt(peer, clock, instance);
-    peer.quarantine.takeRecord({ key: HARMFUL, value: peer.records.get(HARMFUL) });
+    peer.quarantine.applyRecord({ key: HARMFUL, value: peer.records.get(HARMFUL) });
     peer.records.clear();
-    peer.quarantine.noteRestored([HARMFUL], 'peer');
+    peer.quarantine.handleRestored([HARMFUL], 'peer');
     await clock.advance(5_000);
     expect([...peer.records.keys()]).to.deep.equal([HARMFUL]);
   });
@@ -352,8 +356,8 @@
     const value = await recordAndDrop(node, clock);
     node.records.clear();
     await clock.advance(1_000);
-    node.quarantine.takeRecord({ key: HARMFUL, value });
-    node.quarantine.noteRestored([], 'log');
+    node.quarantine.applyRecord({ key: HARMFUL, value });
+    node.quarantine.handleRestored([], 'log');
     await clock.advance(100);
     expect(node.quarantine.refusal(HARMFUL)).to.equal(undefined);
     expect([...node.records]).to.deep.equal([[HARMFUL, undefined]]);
@@ -374,10 +378,10 @@
       { ...valid, quarantined: [{ fingerprint: HARMFUL, sinceAgoMs: 0, leftMs: NaN }] },
       { ...valid, tried: [1] },
     ];
-    invalid.forEach((value) => node.quarantine.takeNews('p', value));
-    node.quarantine.takeRecord({ key: HARMFUL, value: Buffer.from('{"since":5,"until":1}') });
-    node.quarantine.takeRecord({ key: HARMFUL, value: Buffer.from('no') });
-    expect(node.quarantine.whole().crashes).to.deep.equal([]);
+    invalid.forEach((value) => node.quarantine.handlePeerUpdate('p', value));
+    node.quarantine.applyRecord({ key: HARMFUL, value: Buffer.from('{"since":5,"until":1}') });
+    node.quarantine.applyRecord({ key: HARMFUL, value: Buffer.from('no') });
+    expect(node.quarantine.fullUpdate().crashes).to.deep.equal([]);
     expect(node.quarantine.refusal(HARMFUL)).to.equal(undefined);
   });
 });
--- a/packages/gateway/test/rate-limit.test.ts
+++ b/packages/gateway/test/rate-limit.test.ts
@@ -2,13 +2,13 @@
 import { createManualClock, createMetrics, silentEventLog } from '@plantaindrum/common';
 import { createConnectedEntries } from '../src/mesh/linked-share.js';
 import { readRateLimitUpdate } from '../src/mesh/rate-news.js';
-import type { RateNews } from '../src/mesh/rate-news.js';
+import type { RateLimitUpdate } from '../src/mesh/rate-news.js';
 import { createRateLimit } from '../src/upstreams/rate-limit.js';
 import { createRateLimits } from '../src/upstreams/rate-limits.js';
 import { createUpstream } from '../src/upstreams/upstream.js';
-import { answerOk, refuseUnrun, soundHeaders } from './support/fake-upstream.js';
-import type { Act } from './support/fake-upstream.js';
-import { runs, withEntry } from './support/with-entry.js';
+import { answerOk, refuseNotRun, validHeaders } from './support/fake-upstream.js';
+import type { Handler } from './support/fake-upstream.js';
+import { countRequests, withEntry } from './support/with-entry.js';
 
 const allConnected = (): number => 1;
 
@@ -84,25 +84,30 @@
   const startLimits = () => {
     const clock = createManualClock(1_000);
     const upstream = createUpstream(record, clock);
-    const updates: RateNews[] = [];
+    const updates: RateLimitUpdate[] = [];
     const limits = createRateLimits({
       upstreams: () => [upstream],
-      tell: (update) => updates.push(update),
+      broadcast: (update) => updates.push(update),
       metrics: createMetrics(),
       log: silentEventLog,
     });
     const answer = (perSecond: number | undefined, hasRun = true): void =>
-      limits.noteAnswer(upstream, { requestId: 'q', perSecond, sentAt: clock.monotonic(), hasRun });
+      limits.recordResponse(upstream, {
+        requestId: 'q',
+        perSecond,
+        sentAt: clock.monotonic(),
+        hasRun,
+      });
     return { clock, upstream, limits, updates, answer };
   };
 
   it('are broadcast when a limit is set, for each request sent, and when the limit is cleared', () => {
     const { upstream, limits, updates, answer } = startLimits();
-    limits.noteSent(upstream);
+    limits.recordSent(upstream);
     answer(4);
     answer(4);
-    limits.noteSent(upstream);
-    expect(limits.whole()).to.deep.equal({ ...updates[0], sent: [] });
+    limits.recordSent(upstream);
+    expect(limits.snapshot()).to.deep.equal({ ...updates[0], sent: [] });
     answer(undefined);
     expect(updates).toMatchSnapshot();
   });
@@ -119,14 +124,17 @@
   // would restrict the new one for as long as no request is sent to it.
   it('apply only to the start of the upstream that they name', () => {
     const { upstream, limits } = startLimits();
-    limits.takeNews('e2', { limits: [{ instance: 'i', startedAt: 4, perSecond: 1 }], sent: [] });
+    limits.applyUpdate('e2', { limits: [{ instance: 'i', startedAt: 4, perSecond: 1 }], sent: [] });
     expect(upstream.rate.perSecond()).to.equal(undefined);
-    limits.takeNews('e2', {
+    limits.applyUpdate('e2', {
       limits: [{ instance: 'i', startedAt: 5, perSecond: 1 }],
       sent: [{ instance: 'i', startedAt: 5, requests: 2 }],
     });
     expect(upstream.rate.waitMs()).to.equal(3_000);
-    limits.takeNews('e2', { limits: [{ instance: 'i', startedAt: 5, perSecond: null }], sent: [] });
+    limits.applyUpdate('e2', {
+      limits: [{ instance: 'i', startedAt: 5, perSecond: null }],
+      sent: [],
+    });
     expect(upstream.rate.waitMs()).to.equal(0);
   });
 
@@ -145,32 +153,32 @@
 
 describe('serving with upstreams that advertise rate limits', () => {
   const limited =
-    (perSecond: number): Act =>
+    (perSecond: number): Handler =>
     (req, res) => {
-      res.writeHead(200, { ...soundHeaders(req), 'x-rate-limit': String(perSecond) }).end('ok');
+      res.writeHead(200, { ...validHeaders(req), 'x-rate-limit': String(perSecond) }).end('ok');
     };
 
   // The limits of both upstreams are used up. If the caller waited until its deadline, it would not learn when to
   // retry; if its request was sent nevertheless, it would overload an upstream.
   it('refuses at once with a retry time when all limits are used up', async () => {
     await withEntry([limited(0.5), limited(0.25)], {}, async (entry, upstreams) => {
-      expect((await entry.ask()).status).to.equal(200);
-      expect((await entry.ask()).status).to.equal(200);
-      const refused = await entry.ask();
+      expect((await entry.send()).status).to.equal(200);
+      expect((await entry.send()).status).to.equal(200);
+      const refused = await entry.send();
       expect(refused).to.include({ status: 503, body: 'upstreams-rate-limited\n' });
       expect(refused.ms).to.be.below(200);
       expect(Number(refused.headers['retry-after'])).to.be.within(1.5, 3);
-      expect(runs(upstreams)).to.equal(2);
+      expect(countRequests(upstreams)).to.equal(2);
     });
   });
 
   // A retry needs an upstream with capacity, too: the first upstream refuses, and the second one is at its limit.
   it('does not retry at an upstream whose limit is used up', async () => {
     await withEntry([answerOk(), limited(0.5)], {}, async (entry, [first, second]) => {
-      while (second?.seen.length === 0) await entry.ask();
-      first?.act(refuseUnrun);
+      while (second?.seen.length === 0) await entry.send();
+      first?.setHandler(refuseNotRun);
       const before = second?.seen.length;
-      const refused = await entry.ask();
+      const refused = await entry.send();
       expect(refused).to.include({ status: 503, body: 'upstreams-rate-limited\n' });
       expect(second?.seen.length).to.equal(before);
     });
--- a/packages/gateway/test/reopening.test.ts
+++ b/packages/gateway/test/reopening.test.ts
@@ -1,18 +1,23 @@
 import { expect } from 'chai';
 import { createManualClock, createMetrics, silentEventLog } from '@plantaindrum/common';
-import { createReopening } from '../src/admission/reopening.js';
+import { createServiceOutages } from '../src/admission/reopening.js';
 import type { WaitOutcome } from '../src/admission/reopening.js';
-import { answerOk, refuseUnrun, streamEvents } from './support/fake-upstream.js';
-import type { Act } from './support/fake-upstream.js';
-import { eventsOf, runs, stream, wait, withEntry } from './support/with-entry.js';
+import { answerOk, refuseNotRun, streamEvents } from './support/fake-upstream.js';
+import type { Handler } from './support/fake-upstream.js';
+import { eventIdsOf, countRequests, streamRoute, wait, withEntry } from './support/with-entry.js';
 
 const startOutages = () => {
   const clock = createManualClock();
-  const outages = createReopening({ clock, metrics: createMetrics(), log: silentEventLog });
+  const outages = createServiceOutages({ clock, metrics: createMetrics(), log: silentEventLog });
   const ended: [name: string, outcome: WaitOutcome][] = [];
   const enqueue = (name: string, urgency = 1, room = 9, waitMs = 1_000, isLastTry = true): void => {
     void outages
-      .wait('s', { until: clock.monotonic() + waitMs, urgency, room, isLastTry })
+      .wait('s', {
+        until: clock.monotonic() + waitMs,
+        urgency,
+        maxWaiting: room,
+        isLastAttempt: isLastTry,
+      })
       .then((outcome) => ended.push([name, outcome]));
   };
   return { clock, outages, ended, enqueue };
@@ -21,23 +26,23 @@
 describe('waiting for a group that re-forms', () => {
   it('lets one caller probe at a time, and releases all by urgency at the first answer', async () => {
     const { clock, outages, ended, enqueue } = startOutages();
-    outages.noteRefusing('s');
+    outages.recordRefusal('s');
     enqueue('first');
     enqueue('second');
     enqueue('urgent', 0);
     enqueue('third');
     await clock.advance(120);
     expect(ended).to.deep.equal([['urgent', 'ask']]);
-    outages.noteRefusing('s');
+    outages.recordRefusal('s');
     await clock.advance(50);
-    outages.noteAnswer('s');
+    outages.recordAnswer('s');
     await clock.advance(0);
     expect(ended.slice(1)).to.deep.equal([
       ['first', 'open'],
       ['second', 'open'],
       ['third', 'open'],
     ]);
-    expect(outages.isClosed('s')).to.equal(false);
+    expect(outages.isUnavailable('s')).to.equal(false);
   });
 
   // The first passes of a group that has formed are long: the first event of the probe takes half a second, and the
@@ -45,24 +50,24 @@
   // the group serves again.
   it('ends the outage when the probe is not refused at once', async () => {
     const { clock, outages, ended, enqueue } = startOutages();
-    outages.noteRefusing('s');
+    outages.recordRefusal('s');
     enqueue('first');
     enqueue('second');
     await clock.advance(120);
     expect(ended).to.deep.equal([['first', 'ask']]);
     await clock.advance(120);
     expect(ended.slice(1)).to.deep.equal([['second', 'open']]);
-    expect(outages.isClosed('s')).to.equal(false);
+    expect(outages.isUnavailable('s')).to.equal(false);
   });
 
   // The probe was sent to an instance that no longer exists, which says nothing about the group.
   it('continues the outage when the probe is inconclusive', async () => {
     const { clock, outages, ended, enqueue } = startOutages();
-    outages.noteRefusing('s');
+    outages.recordRefusal('s');
     enqueue('first');
     enqueue('second');
     await clock.advance(120);
-    outages.noteNothing('s');
+    outages.recordInconclusive('s');
     await clock.advance(120);
     expect(ended).to.deep.equal([
       ['first', 'ask'],
@@ -74,7 +79,7 @@
   // the limit are refused at once, and waits end in time for the caller to retry.
   it('limits the number of waiting callers and the time that they wait', async () => {
     const { clock, outages, ended, enqueue } = startOutages();
-    outages.noteRefusing('s');
+    outages.recordRefusal('s');
     enqueue('a', 1, 2, 150);
     enqueue('b', 1, 2, 150);
     enqueue('c', 1, 2, 150);
@@ -82,7 +87,7 @@
     expect(ended).to.deep.equal([['c', 'no-room']]);
     for (let n = 0; n < 4; n += 1) {
       await clock.advance(100);
-      outages.noteRefusing('s');
+      outages.recordRefusal('s');
     }
     expect(ended.slice(1)).to.deep.equal([
       ['a', 'ask'],
@@ -94,7 +99,7 @@
   // entry without waiting callers would go on refusing after the group has formed.
   it('does not queue callers that may retry, but lets one of them probe at intervals', async () => {
     const { clock, outages, ended, enqueue } = startOutages();
-    outages.noteRefusing('s');
+    outages.recordRefusal('s');
     enqueue('a', 1, 9, 1_000, false);
     await clock.advance(120);
     enqueue('b', 1, 9, 1_000, false);
@@ -109,29 +114,29 @@
 
   it('drops an outage one second after its last refusal', async () => {
     const { clock, outages } = startOutages();
-    outages.noteRefusing('s');
-    expect(outages.isClosed('s')).to.equal(true);
+    outages.recordRefusal('s');
+    expect(outages.isUnavailable('s')).to.equal(true);
     await clock.advance(1_001);
-    expect(outages.isClosed('s')).to.equal(false);
+    expect(outages.isUnavailable('s')).to.equal(false);
   });
 });
 
 describe('serving callers of a group that re-forms', () => {
   const UPSTREAMS = 6;
-  const acts = (act: Act): Act[] => new Array<Act>(UPSTREAMS).fill(act);
+  const acts = (act: Handler): Handler[] => new Array<Handler>(UPSTREAMS).fill(act);
 
   // All ranks refuse while the group forms. Callers that resume a cut stream won't come back a second time, so they
   // wait the half second until the group has formed. Few attempts are made meanwhile, and all callers are served.
   it('serves waiting callers once the group has formed', async () => {
-    await withEntry(acts(refuseUnrun), { route: stream }, async (entry, upstreams) => {
-      const firstAnswers = await Promise.all(Array.from({ length: 3 }, () => entry.ask()));
+    await withEntry(acts(refuseNotRun), { route: streamRoute }, async (entry, upstreams) => {
+      const firstAnswers = await Promise.all(Array.from({ length: 3 }, () => entry.send()));
       expect(firstAnswers.map(({ status }) => status)).to.include(503);
-      const requests = Array.from({ length: 6 }, () => entry.ask({ 'x-after': '0' }));
+      const requests = Array.from({ length: 6 }, () => entry.send({ 'x-after': '0' }));
       await wait(350);
-      const runsDuringOutage = runs(upstreams);
-      upstreams.forEach((upstream) => upstream.act(streamEvents([1, 2], 'whole')));
+      const runsDuringOutage = countRequests(upstreams);
+      upstreams.forEach((upstream) => upstream.setHandler(streamEvents([1, 2], 'whole')));
       const answers = await Promise.all(requests);
-      expect(answers.map(({ body }) => eventsOf(body))).to.deep.equal(
+      expect(answers.map(({ body }) => eventIdsOf(body))).to.deep.equal(
         new Array(requests.length).fill([1, 2]),
       );
       expect(runsDuringOutage).to.be.below(20);
@@ -139,8 +144,8 @@
   });
 
   it('refuses callers with a retry time when the outage continues', async () => {
-    await withEntry(acts(refuseUnrun), { route: stream }, async (entry) => {
-      const answers = await Promise.all(Array.from({ length: 8 }, () => entry.ask()));
+    await withEntry(acts(refuseNotRun), { route: streamRoute }, async (entry) => {
+      const answers = await Promise.all(Array.from({ length: 8 }, () => entry.send()));
       answers.forEach((answer) => {
         expect(answer.status).to.equal(503);
         expect(Number(answer.headers['retry-after'])).to.be.above(0);
@@ -151,11 +156,11 @@
 
   // The answer to a request without a stream is read as a whole; the wait before it is the same.
   it('queues requests without a stream as well', async () => {
-    await withEntry(acts(refuseUnrun), { route: { kind: 'safe' } }, async (entry, upstreams) => {
-      await Promise.all(Array.from({ length: 3 }, () => entry.ask()));
-      const request = entry.ask({ 'x-after': '0' });
+    await withEntry(acts(refuseNotRun), { route: { kind: 'safe' } }, async (entry, upstreams) => {
+      await Promise.all(Array.from({ length: 3 }, () => entry.send()));
+      const request = entry.send({ 'x-after': '0' });
       await wait(50);
-      upstreams.forEach((upstream) => upstream.act(answerOk()));
+      upstreams.forEach((upstream) => upstream.setHandler(answerOk()));
       expect((await request).status).to.equal(200);
     });
   });
--- a/packages/gateway/test/serving.test.ts
+++ b/packages/gateway/test/serving.test.ts
@@ -4,18 +4,18 @@
 import type { EntryOptions } from './support/entry.js';
 import {
   answerOk,
-  refuseUnrun,
+  refuseNotRun,
   resetConnection,
-  soundHeaders,
+  validHeaders,
   startFakeUpstream,
 } from './support/fake-upstream.js';
-import type { Act } from './support/fake-upstream.js';
-import { runs, stream, unsafeRoute, wait, withEntry } from './support/with-entry.js';
+import type { Handler } from './support/fake-upstream.js';
+import { countRequests, streamRoute, unsafeRoute, wait, withEntry } from './support/with-entry.js';
 
 describe('serving a request', () => {
   it('forwards method, path, body and response unchanged', async () => {
     await withEntry([answerOk('hello')], {}, async (entry, [upstream]) => {
-      const response = await entry.ask({ 'x-extra': 'e' }, '/p/x?y=1', 'body');
+      const response = await entry.send({ 'x-extra': 'e' }, '/p/x?y=1', 'body');
       expect(response).to.include({ status: 200, body: 'hello', isComplete: true });
       expect(response.headers['x-receipt']).to.equal('r');
       const [seen] = upstream?.seen ?? [];
@@ -26,8 +26,8 @@
 
   it('limits the time of the upstream to that of the caller and of the route', async () => {
     await withEntry([answerOk()], {}, async (entry, [upstream]) => {
-      await entry.ask({ 'x-wait': '300' });
-      await entry.ask({ 'x-wait': '90000' });
+      await entry.send({ 'x-wait': '300' });
+      await entry.send({ 'x-wait': '90000' });
       const left = (upstream?.seen ?? []).map(({ headers }) => Number(headers['x-left']));
       expect(left[0]).to.be.within(200, 300);
       expect(left[1]).to.be.within(900, 1_000);
@@ -37,8 +37,8 @@
   // The upstream that refuses states that it has not run the request, so another one may run it, and the caller gets a
   // response.
   it('retries a refused request at another upstream', async () => {
-    await withEntry([refuseUnrun, answerOk()], { route: { maxAttempts: 2 } }, async (entry) => {
-      const responses = [await entry.ask(), await entry.ask(), await entry.ask()];
+    await withEntry([refuseNotRun, answerOk()], { route: { maxAttempts: 2 } }, async (entry) => {
+      const responses = [await entry.send(), await entry.send(), await entry.send()];
       expect(responses.map(({ status }) => status)).to.deep.equal([200, 200, 200]);
     });
   });
@@ -51,10 +51,10 @@
       handlers,
       { route: { ...unsafeRoute, maxAttempts: 2 } },
       async (entry, upstreams) => {
-        const response = await entry.ask({}, '/p/x', 'export');
+        const response = await entry.send({}, '/p/x', 'export');
         expect(response.status).to.equal(502);
         expect(response.headers['retry-after']).to.equal(undefined);
-        expect(runs(upstreams)).to.equal(1);
+        expect(countRequests(upstreams)).to.equal(1);
       },
     );
   });
@@ -62,24 +62,24 @@
   // A 503 without the upstream's statement that the request has not run: if it were forwarded, the caller would retry
   // and the work could be done twice.
   it('does not forward a 503 that does not prove that the request has not run', async () => {
-    const incomplete: Act = (req, res) => res.writeHead(503, soundHeaders(req)).end();
+    const incomplete: Handler = (req, res) => res.writeHead(503, validHeaders(req)).end();
     await withEntry([incomplete], { route: unsafeRoute }, async (entry, upstreams) => {
-      const response = await entry.ask({}, '/p/x', 'export');
+      const response = await entry.send({}, '/p/x', 'export');
       expect(response.status).to.equal(502);
-      expect(runs(upstreams)).to.equal(1);
+      expect(countRequests(upstreams)).to.equal(1);
     });
   });
 
   it('retries a safe request after a connection reset and after an error of the upstream', async () => {
-    const failing: Act = (req, res) => res.writeHead(500, soundHeaders(req)).end('no');
+    const failing: Handler = (req, res) => res.writeHead(500, validHeaders(req)).end('no');
     await withEntry([resetConnection, answerOk()], {}, async (entry) => {
-      expect((await entry.ask()).status).to.equal(200);
-      expect((await entry.ask()).status).to.equal(200);
+      expect((await entry.send()).status).to.equal(200);
+      expect((await entry.send()).status).to.equal(200);
     });
     await withEntry([failing, failing], {}, async (entry, upstreams) => {
-      const response = await entry.ask();
+      const response = await entry.send();
       expect(response).to.include({ status: 500, body: 'no' });
-      expect(runs(upstreams)).to.equal(2);
+      expect(countRequests(upstreams)).to.equal(2);
     });
   });
 
@@ -90,10 +90,10 @@
     await exited.close();
     const running = await startFakeUpstream(answerOk());
     const entry = await startEntry({ upstreams: [exited, running], route: unsafeRoute });
-    const responses = [await entry.ask({}, '/p/x', 'a'), await entry.ask({}, '/p/x', 'b')];
+    const responses = [await entry.send({}, '/p/x', 'a'), await entry.send({}, '/p/x', 'b')];
     expect(responses.map(({ status }) => status)).to.deep.equal([200, 200]);
     await running.close();
-    const refused = await entry.ask({}, '/p/x', 'c');
+    const refused = await entry.send({}, '/p/x', 'c');
     expect(refused.status).to.equal(503);
     expect(Number(refused.headers['retry-after'])).to.be.above(0);
     await entry.close();
@@ -101,20 +101,20 @@
 
   // An upstream sends the late response to another request on the connection of this one. The caller must not get it.
   it('does not forward the response to another request', async () => {
-    const wrongResponse: Act = (_, res) =>
+    const wrongResponse: Handler = (_, res) =>
       res.writeHead(200, { 'x-id': 'other', 'x-receipt': 'r' }).end('x');
     await withEntry([wrongResponse], { route: unsafeRoute }, async (entry) => {
-      const response = await entry.ask({}, '/p/x', 'a');
+      const response = await entry.send({}, '/p/x', 'a');
       expect(response.status).to.equal(502);
       expect(response.body).not.to.equal('x');
     });
   });
 
   it('rejects a successful response without a receipt', async () => {
-    const incomplete: Act = (req, res) =>
+    const incomplete: Handler = (req, res) =>
       res.writeHead(200, { 'x-id': String(req.headers['x-id']) }).end();
     await withEntry([incomplete], { route: unsafeRoute }, async (entry) => {
-      expect((await entry.ask({}, '/p/x', 'a')).status).to.equal(502);
+      expect((await entry.send({}, '/p/x', 'a')).status).to.equal(502);
     });
   });
 
@@ -123,7 +123,7 @@
       [() => {}],
       { route: { ...unsafeRoute, timeoutMs: 200 } },
       async (entry, [upstream]) => {
-        const response = await entry.ask({}, '/p/x', 'a');
+        const response = await entry.send({}, '/p/x', 'a');
         expect(response.status).to.equal(504);
         expect(response.ms).to.be.within(150, 600);
         await wait(100);
@@ -145,7 +145,7 @@
     };
     const route = { ...unsafeRoute, timeoutMs: 200 };
     await withEntry([() => {}], { route, clock }, async (entry) => {
-      expect((await entry.ask({}, '/p/x', 'a')).status).to.equal(504);
+      expect((await entry.send({}, '/p/x', 'a')).status).to.equal(504);
     });
   });
 
@@ -153,19 +153,19 @@
   // no other upstream may get the request.
   it('cancels the request at the upstream when the caller disconnects', async () => {
     await withEntry([() => {}, () => {}], {}, async (entry, upstreams) => {
-      await entry.ask({}, '/p/x', '', 60);
+      await entry.send({}, '/p/x', '', 60);
       await wait(200);
       expect(upstreams.reduce((sum, upstream) => sum + upstream.abortedRequests(), 0)).to.equal(1);
-      expect(runs(upstreams)).to.equal(1);
+      expect(countRequests(upstreams)).to.equal(1);
     });
   });
 
   it('stops retrying when the retry budget is used up, and says that nothing ran', async () => {
-    const handlers = [refuseUnrun, refuseUnrun];
+    const handlers = [refuseNotRun, refuseNotRun];
     await withEntry(handlers, { retryAllowance: 0 }, async (entry, upstreams) => {
-      const response = await entry.ask();
+      const response = await entry.send();
       expect(response.status).to.equal(503);
-      expect(runs(upstreams)).to.equal(1);
+      expect(countRequests(upstreams)).to.equal(1);
     });
   });
 });
@@ -180,13 +180,13 @@
       { intent: { services } },
       async (entry, upstreams) => {
         const [first, second] = upstreams;
-        first?.act(() => {});
-        second?.act(() => {});
-        const held = entry.ask({ 'x-id': 'held' }, '/p/held');
+        first?.setHandler(() => {});
+        second?.setHandler(() => {});
+        const held = entry.send({ 'x-id': 'held' }, '/p/held');
         await wait(50);
         const [holding, other] = first?.seen.length === 1 ? [first, second] : [second, first];
         await other?.close();
-        expect(await entry.ask()).to.include({ status: 503, body: 'upstreams-full\n' });
+        expect(await entry.send()).to.include({ status: 503, body: 'upstreams-full\n' });
         expect(holding?.seen.map(({ headers }) => headers['x-id'])).to.deep.equal(['held']);
         await held;
       },
@@ -215,10 +215,10 @@
   rows.forEach(([title, options, path, status]) => {
     it(title, async () => {
       await withEntry([answerOk()], options, async (entry, upstreams) => {
-        const response = await entry.ask({}, path);
+        const response = await entry.send({}, path);
         expect(response.status).to.equal(status);
         expect(response.headers['retry-after'] !== undefined).to.equal(status === 503);
-        expect(runs(upstreams)).to.equal(0);
+        expect(countRequests(upstreams)).to.equal(0);
       });
     });
   });
@@ -227,17 +227,17 @@
   // ran. If it is told that it did not run, it retries at another entry at once.
   it('an entry that exits soon: 503, and nothing reaches an upstream', async () => {
     await withEntry([answerOk()], { isClosing: true }, async (entry, upstreams) => {
-      const response = await entry.ask();
+      const response = await entry.send();
       expect(response).to.include({ status: 503, body: 'stopping\n' });
       expect(Number(response.headers['retry-after'])).to.be.below(0.3);
-      expect(runs(upstreams)).to.equal(0);
+      expect(countRequests(upstreams)).to.equal(0);
     });
   });
 
   it('a body over the limit: 413, and nothing reaches an upstream', async () => {
     await withEntry([answerOk()], {}, async (entry, upstreams) => {
-      expect((await entry.ask({}, '/p/x', 'b'.repeat(1_001))).status).to.equal(413);
-      expect(runs(upstreams)).to.equal(0);
+      expect((await entry.send({}, '/p/x', 'b'.repeat(1_001))).status).to.equal(413);
+      expect(countRequests(upstreams)).to.equal(0);
     });
   });
 
@@ -245,7 +245,7 @@
     const organisations = [{ name: 'o', apiKeys: ['k'], priority: undefined }];
     const options = { route: { anonymous: false }, intent: { organisations } };
     await withEntry([answerOk()], options, async (entry, [upstream]) => {
-      expect((await entry.ask({ 'x-key': 'k' })).status).to.equal(200);
+      expect((await entry.send({ 'x-key': 'k' })).status).to.equal(200);
       expect(upstream?.seen[0]?.headers).to.include({ 'x-org': 'o' });
       expect(upstream?.seen[0]?.headers['x-key']).to.equal(undefined);
     });
@@ -256,12 +256,12 @@
   // Guards against a truncated body that looks complete: an upstream crashes while it sends a response without a
   // length, and its connection ends cleanly. A length added by the entry would hide that.
   it('does not add a length to a response that had none', async () => {
-    const unframed: Act = (req, res) => {
+    const unframed: Handler = (req, res) => {
       res.removeHeader('Transfer-Encoding');
-      res.writeHead(200, { ...soundHeaders(req), connection: 'close' }).end('as far as it came');
+      res.writeHead(200, { ...validHeaders(req), connection: 'close' }).end('as far as it came');
     };
     await withEntry([unframed], { route: unsafeRoute }, async (entry) => {
-      const response = await entry.ask({}, '/p/x', 'a');
+      const response = await entry.send({}, '/p/x', 'a');
       expect(response).to.include({ status: 200, body: 'as far as it came' });
       expect(response.headers).to.not.have.any.keys('content-length', 'transfer-encoding');
       expect(response.headers.connection).to.equal('close');
@@ -271,12 +271,12 @@
   // After a power failure all upstreams are new instances, and their old entries stay listed for some seconds. Each of
   // these is tried once at most; otherwise every request would use up the retry budget on several of them.
   it('does not retry an instance whose address another one has taken', async () => {
-    const other: Act = (_, res) => res.writeHead(421).end();
+    const other: Handler = (_, res) => res.writeHead(421).end();
     await withEntry(
       [other, answerOk()],
       { route: { maxAttempts: 3 } },
       async (entry, upstreams) => {
-        for (let n = 0; n < 6; n += 1) expect((await entry.ask()).status).to.equal(200);
+        for (let n = 0; n < 6; n += 1) expect((await entry.send()).status).to.equal(200);
         expect(upstreams[0]?.seen.length).to.be.at.most(1);
       },
     );
@@ -285,13 +285,13 @@
   // A group re-forms and every rank refuses, for longer than callers can wait. One request at a time probes the service
   // for all, and all are refused with a retry delay, so that the retry budget is left for requests that can succeed.
   it('probes for one caller at a time when most upstreams of a service refuse', async () => {
-    const handlers = Array.from({ length: 6 }, () => refuseUnrun);
-    const route = { ...stream, maxAttempts: 2, timeoutMs: 3_000 };
+    const handlers = Array.from({ length: 6 }, () => refuseNotRun);
+    const route = { ...streamRoute, maxAttempts: 2, timeoutMs: 3_000 };
     await withEntry(handlers, { route }, async (entry, upstreams) => {
-      await Promise.all([1, 2, 3, 4].map(() => entry.ask()));
-      const before = runs(upstreams);
-      const responses = await Promise.all(Array.from({ length: 12 }, () => entry.ask()));
-      expect(runs(upstreams) - before).to.be.at.most(12);
+      await Promise.all([1, 2, 3, 4].map(() => entry.send()));
+      const before = countRequests(upstreams);
+      const responses = await Promise.all(Array.from({ length: 12 }, () => entry.send()));
+      expect(countRequests(upstreams) - before).to.be.at.most(12);
       responses.forEach(({ status, headers, ms }) => {
         expect(status).to.equal(503);
         expect(ms).to.be.below(1_500);
--- a/packages/gateway/test/slow-upstreams.test.ts
+++ b/packages/gateway/test/slow-upstreams.test.ts
@@ -5,7 +5,7 @@
 import { maxUsedSlowdown } from '../src/upstreams/slow-upstreams.js';
 import type { UpstreamSlowdown } from '../src/upstreams/slow-upstreams.js';
 import { streamEvents } from './support/fake-upstream.js';
-import { eventsOf, runs, stream, wait, withEntry } from './support/with-entry.js';
+import { eventIdsOf, countRequests, streamRoute, wait, withEntry } from './support/with-entry.js';
 
 const group = (...slowdowns: number[]): UpstreamSlowdown[] =>
   slowdowns.map((slowdown) => ({ slowdown, slots: 8 }));
@@ -105,16 +105,16 @@
   // after its last event, within the same response, and the slot at the slow rank is freed at once.
   it('is resumed at another rank, without missing or repeated events', async () => {
     const handlers = [streamEvents([1, 2, 3], 'open'), streamEvents([1, 2, 3], 'open')];
-    await withEntry(handlers, { route: stream }, async (entry, upstreams) => {
-      const pending = entry.ask();
-      while (runs(upstreams) === 0) await wait(5);
+    await withEntry(handlers, { route: streamRoute }, async (entry, upstreams) => {
+      const pending = entry.send();
+      while (countRequests(upstreams) === 0) await wait(5);
       await wait(30);
       const slow = upstreams.find(({ seen }) => seen.length === 1);
       const other = upstreams.find(({ seen }) => seen.length === 0);
-      other?.act(streamEvents([3, 4, 5], 'whole'));
+      other?.setHandler(streamEvents([3, 4, 5], 'whole'));
       slowDown(entry, slow?.port ?? 0);
       const response = await pending;
-      expect(eventsOf(response.body)).to.deep.equal([1, 2, 3, 4, 5]);
+      expect(eventIdsOf(response.body)).to.deep.equal([1, 2, 3, 4, 5]);
       expect(response.isComplete).to.equal(true);
       expect(other?.seen[0]?.headers['x-after']).to.equal('3');
       expect(slow?.abortedRequests()).to.equal(1);
@@ -125,21 +125,21 @@
   // upstream is faster. It must continue where it is: if its attempt were aborted, it would be lost.
   it('stays at its rank if it must not be retried', async () => {
     const cases = [
-      { route: { ...stream, resumable: false } },
-      { route: { ...stream, maxAttempts: 1 } },
-      { route: stream, retryAllowance: 0 },
+      { route: { ...streamRoute, resumable: false } },
+      { route: { ...streamRoute, maxAttempts: 1 } },
+      { route: streamRoute, retryAllowance: 0 },
     ];
     for (const options of cases) {
       const handlers = [streamEvents([1], 'open'), streamEvents([1], 'open')];
       await withEntry(handlers, options, async (entry, upstreams) => {
-        const pending = entry.ask({}, '/p/x', '', 400);
-        while (runs(upstreams) === 0) await wait(5);
+        const pending = entry.send({}, '/p/x', '', 400);
+        while (countRequests(upstreams) === 0) await wait(5);
         await wait(30);
         const slow = upstreams.find(({ seen }) => seen.length === 1);
         slowDown(entry, slow?.port ?? 0);
         await wait(200);
         expect(slow?.abortedRequests()).to.equal(0);
-        expect(runs(upstreams)).to.equal(1);
+        expect(countRequests(upstreams)).to.equal(1);
         await pending;
       });
     }
@@ -147,9 +147,9 @@
 
   it('is not started there while others are fast', async () => {
     const handlers = [streamEvents([1], 'whole'), streamEvents([1], 'whole')];
-    await withEntry(handlers, { route: stream }, async (entry, upstreams) => {
+    await withEntry(handlers, { route: streamRoute }, async (entry, upstreams) => {
       slowDown(entry, upstreams[0]?.port ?? 0);
-      for (let n = 0; n < 5; n += 1) await entry.ask();
+      for (let n = 0; n < 5; n += 1) await entry.send();
       expect(upstreams.map(({ seen }) => seen.length)).to.deep.equal([0, 5]);
     });
   });
--- a/packages/gateway/test/streams.test.ts
+++ b/packages/gateway/test/streams.test.ts
@@ -1,13 +1,13 @@
 import { expect } from 'chai';
-import { refuseUnrun, soundHeaders, streamEvents } from './support/fake-upstream.js';
-import type { Act } from './support/fake-upstream.js';
-import { eventsOf, runs, stream, wait, withEntry } from './support/with-entry.js';
+import { refuseNotRun, validHeaders, streamEvents } from './support/fake-upstream.js';
+import type { Handler } from './support/fake-upstream.js';
+import { eventIdsOf, countRequests, streamRoute, wait, withEntry } from './support/with-entry.js';
 
 describe('serving a stream', () => {
   it('forwards events and ends cleanly', async () => {
-    await withEntry([streamEvents([1, 2, 3], 'whole')], { route: stream }, async (entry) => {
-      const response = await entry.ask();
-      expect(eventsOf(response.body)).to.deep.equal([1, 2, 3]);
+    await withEntry([streamEvents([1, 2, 3], 'whole')], { route: streamRoute }, async (entry) => {
+      const response = await entry.send();
+      expect(eventIdsOf(response.body)).to.deep.equal([1, 2, 3]);
       expect(response.isComplete).to.equal(true);
     });
   });
@@ -18,13 +18,13 @@
     const firstPart = streamEvents([1, 2, 3], 'reset');
     const secondPart = streamEvents([3, 4, 5], 'whole');
     let isFirst = true;
-    const handler: Act = (req, res) => {
+    const handler: Handler = (req, res) => {
       (isFirst ? firstPart : secondPart)(req, res);
       isFirst = false;
     };
-    await withEntry([handler, handler], { route: stream }, async (entry, upstreams) => {
-      const response = await entry.ask();
-      expect(eventsOf(response.body)).to.deep.equal([1, 2, 3, 4, 5]);
+    await withEntry([handler, handler], { route: streamRoute }, async (entry, upstreams) => {
+      const response = await entry.send();
+      expect(eventIdsOf(response.body)).to.deep.equal([1, 2, 3, 4, 5]);
       expect(response.isComplete).to.equal(true);
       const resumed = upstreams.flatMap(({ seen }) =>
         seen.map(({ headers }) => headers['x-after']),
@@ -36,52 +36,52 @@
   // Parts of two runs with a gap between them would look like one stream.
   it('aborts the response when events are missing in the resumed stream', async () => {
     let isFirst = true;
-    const handler: Act = (req, res) => {
+    const handler: Handler = (req, res) => {
       streamEvents(isFirst ? [1, 2] : [5, 6], isFirst ? 'reset' : 'whole')(req, res);
       isFirst = false;
     };
-    await withEntry([handler, handler], { route: stream }, async (entry) => {
-      const response = await entry.ask();
-      expect(eventsOf(response.body)).to.deep.equal([1, 2]);
+    await withEntry([handler, handler], { route: streamRoute }, async (entry) => {
+      const response = await entry.send();
+      expect(eventIdsOf(response.body)).to.deep.equal([1, 2]);
       expect(response.isComplete).to.equal(false);
     });
   });
 
   it('aborts the response when the route is not resumable', async () => {
-    const route = { ...stream, resumable: false };
+    const route = { ...streamRoute, resumable: false };
     const handlers = [streamEvents([1, 2], 'reset'), streamEvents([1, 2], 'reset')];
     await withEntry(handlers, { route }, async (entry, upstreams) => {
-      const response = await entry.ask();
+      const response = await entry.send();
       expect(response.isComplete).to.equal(false);
-      expect(runs(upstreams)).to.equal(1);
+      expect(countRequests(upstreams)).to.equal(1);
     });
   });
 
   // A stream that ends cleanly within an event is not complete.
   it('does not end a stream cleanly whose last event is truncated', async () => {
-    const truncated: Act = (req, res) => {
-      res.writeHead(200, { ...soundHeaders(req), 'content-type': 'text/event-stream' });
+    const truncated: Handler = (req, res) => {
+      res.writeHead(200, { ...validHeaders(req), 'content-type': 'text/event-stream' });
       res.end('id: 1\ndata: 1\n\nid: 2\nda');
     };
-    const route = { ...stream, resumable: false };
+    const route = { ...streamRoute, resumable: false };
     await withEntry([truncated], { route }, async (entry) => {
-      const response = await entry.ask();
+      const response = await entry.send();
       expect(response.isComplete).to.equal(false);
       expect(response.body).not.to.include('id: 2');
     });
   });
 
   it('tells a caller that nothing ran when the stream was refused before its first event', async () => {
-    await withEntry([refuseUnrun], { route: stream }, async (entry) => {
-      const response = await entry.ask();
+    await withEntry([refuseNotRun], { route: streamRoute }, async (entry) => {
+      const response = await entry.send();
       expect(response.status).to.equal(503);
       expect(Number(response.headers['retry-after'])).to.be.above(0);
     });
   });
 
   it('ends a stream at its upstream when the caller disconnects', async () => {
-    await withEntry([streamEvents([1, 2], 'open')], { route: stream }, async (entry, [up]) => {
-      await entry.ask({}, '/p/x', '', 100);
+    await withEntry([streamEvents([1, 2], 'open')], { route: streamRoute }, async (entry, [up]) => {
+      await entry.send({}, '/p/x', '', 100);
       await wait(200);
       expect(up?.abortedRequests()).to.equal(1);
     });
@@ -92,8 +92,8 @@
   // The caller resumes a stream whose last event it already has. The upstream ends at once without an event; the
   // caller must get the upstream's head with its receipt, not one by the entry.
   it("ends with the upstream's response head", async () => {
-    await withEntry([streamEvents([], 'whole')], { route: stream }, async (entry) => {
-      const response = await entry.ask({ 'x-after': '9' });
+    await withEntry([streamEvents([], 'whole')], { route: streamRoute }, async (entry) => {
+      const response = await entry.send({ 'x-after': '9' });
       expect(response).to.include({ status: 200, body: '', isComplete: true });
       expect(response.headers['x-receipt']).to.equal('r');
     });
@@ -105,10 +105,10 @@
   // Another attempt would run without a caller, and nothing would end it.
   it('is not resumed after its caller has disconnected', async () => {
     const handler = streamEvents([1, 2], 'reset');
-    await withEntry([handler, handler], { route: stream }, async (entry, upstreams) => {
-      await entry.ask({}, '/p/x', '', 60);
+    await withEntry([handler, handler], { route: streamRoute }, async (entry, upstreams) => {
+      await entry.send({}, '/p/x', '', 60);
       await wait(400);
-      expect(runs(upstreams)).to.equal(1);
+      expect(countRequests(upstreams)).to.equal(1);
     });
   });
 });
--- a/packages/gateway/test/support/entry.ts
+++ b/packages/gateway/test/support/entry.ts
@@ -11,15 +11,15 @@
 } from '@plantaindrum/common';
 import type { Clock } from '@plantaindrum/common';
 import { createAdmission } from '../../src/admission/admission.js';
-import { createReopening } from '../../src/admission/reopening.js';
+import { createServiceOutages } from '../../src/admission/reopening.js';
 import { createExitCheck, tryConnect } from '../../src/attempts/exit-check.js';
 import type { Intent, Route, UpstreamRecord } from '../../src/index.js';
 import { createRouteTable } from '../../src/intent/route-table.js';
 import { createQuarantine } from '../../src/quarantine/index.js';
-import type { News } from '../../src/quarantine/news.js';
+import type { QuarantineUpdate } from '../../src/quarantine/news.js';
 import { createRetryBudget } from '../../src/retry/budget.js';
 import { createRequestHandler } from '../../src/serving/serve-request.js';
-import type { RateNews } from '../../src/mesh/rate-news.js';
+import type { RateLimitUpdate } from '../../src/mesh/rate-news.js';
 import { createDirectory } from '../../src/upstreams/directory.js';
 import { createRateLimits } from '../../src/upstreams/rate-limits.js';
 import type { FakeUpstream } from './fake-upstream.js';
@@ -48,9 +48,9 @@
   /** The entry exits soon and accepts no more requests. */
   isClosing?: boolean;
   /** Called with what the entry broadcasts about requests that crash upstreams. */
-  onCrashUpdate?: (news: News) => void;
+  onCrashUpdate?: (news: QuarantineUpdate) => void;
   /** Called with what the entry broadcasts about rate limits of upstreams. */
-  onRateUpdate?: (news: RateNews) => void;
+  onRateUpdate?: (news: RateLimitUpdate) => void;
   /** Called with what the entry writes to the platform about requests in quarantine. */
   publish?: (key: string, value: Uint8Array | undefined) => void;
   /** Clock of the entry; the system clock by default. */
@@ -81,7 +81,7 @@
   const metrics = createMetrics();
   const log = silentEventLog;
   const quarantine = createQuarantine({
-    tell: (news) => options.onCrashUpdate?.(news),
+    broadcast: (news) => options.onCrashUpdate?.(news),
     publish: async (key, value) => {
       options.publish?.(key, value);
       return true;
@@ -91,7 +91,7 @@
     log,
   });
   const checkExit = createExitCheck<UpstreamRecord>(
-    (upstream) => quarantine.noteEnded(upstream, 'refused-connection'),
+    (upstream) => quarantine.handleEnd(upstream, 'refused-connection'),
     (host, at) => tryConnect(host, at, clock),
     clock,
   );
@@ -107,7 +107,7 @@
   const directory = createDirectory({
     decode: (key, value) => ok({ ...JSON.parse(Buffer.from(value).toString()), instance: key }),
     dataCentre: 'd',
-    onExited: (upstream) => quarantine.noteEnded(upstream, 'started-again'),
+    onExited: (upstream) => quarantine.handleEnd(upstream, 'started-again'),
     maxConnections: (service) => routeTable.service(service)?.maxConnections ?? Infinity,
     connectedFraction: () => 1,
     logRecoveredAt: () => -Infinity,
@@ -123,7 +123,7 @@
   });
   const rateLimits = createRateLimits({
     upstreams: directory.all,
-    tell: (news) => options.onRateUpdate?.(news),
+    broadcast: (news) => options.onRateUpdate?.(news),
     metrics,
     log,
   });
@@ -147,7 +147,7 @@
     log,
     isStopping: () => false,
     isClosing: () => options.isClosing ?? false,
-    reopening: createReopening({ clock, metrics, log }),
+    outages: createServiceOutages({ clock, metrics, log }),
     quarantine,
     checkExit,
     entries: () => 1,
@@ -203,7 +203,7 @@
     });
 
   return {
-    ask: send,
+    send,
     metrics,
     directory,
     rateLimits,
--- a/packages/gateway/test/support/fake-upstream.ts
+++ b/packages/gateway/test/support/fake-upstream.ts
@@ -13,7 +13,7 @@
 }
 
 /** Handles one request. */
-export type Act = (req: SeenRequest, res: ServerResponse) => void;
+export type Handler = (req: SeenRequest, res: ServerResponse) => void;
 
 /** A running fake upstream. */
 export interface FakeUpstream {
@@ -22,38 +22,38 @@
   /** Number of requests whose connection closed before the response was complete. */
   abortedRequests(): number;
   /** Replaces the handler. */
-  act(next: Act): void;
+  setHandler(next: Handler): void;
   close(): Promise<void>;
 }
 
 /** Header fields of a valid response in the test dialect. */
-export const soundHeaders = (req: SeenRequest): Record<string, string> => ({
+export const validHeaders = (req: SeenRequest): Record<string, string> => ({
   'x-id': String(req.headers['x-id']),
   'x-receipt': 'r',
 });
 
 /** Responds with 200, the request's id and a receipt. */
 export const answerOk =
-  (body = 'ok'): Act =>
+  (body = 'ok'): Handler =>
   (req, res) => {
-    res.writeHead(200, soundHeaders(req)).end(body);
+    res.writeHead(200, validHeaders(req)).end(body);
   };
 
 /** Refuses the request and states that it has not run. */
-export const refuseUnrun: Act = (_, res) => {
+export const refuseNotRun: Handler = (_, res) => {
   res.writeHead(503, { 'x-not-run': '1' }).end();
 };
 
 /** Resets the connection once the request has been read. */
-export const resetConnection: Act = (_, res) => {
+export const resetConnection: Handler = (_, res) => {
   res.socket?.resetAndDestroy();
 };
 
 /** Starts a stream and sends events with these ids; `end` says whether it ends cleanly, is reset or stays open. */
 export const streamEvents =
-  (ids: readonly number[], end: 'whole' | 'reset' | 'open'): Act =>
+  (ids: readonly number[], end: 'whole' | 'reset' | 'open'): Handler =>
   (req, res) => {
-    res.writeHead(200, { ...soundHeaders(req), 'content-type': 'text/event-stream' });
+    res.writeHead(200, { ...validHeaders(req), 'content-type': 'text/event-stream' });
     ids.forEach((id) => res.write(`id: ${id}\ndata: ${id}\n\n`));
     if (end === 'whole') res.end();
     if (end === 'reset') setTimeout(() => res.socket?.resetAndDestroy(), 30);
@@ -66,7 +66,7 @@
 };
 
 /** Starts a fake upstream. */
-export const startFakeUpstream = async (first: Act): Promise<FakeUpstream> => {
+export const startFakeUpstream = async (first: Handler): Promise<FakeUpstream> => {
   let handler = first;
   let abortedRequests = 0;
   const seen: SeenRequest[] = [];
@@ -91,7 +91,7 @@
     port: (server.address() as AddressInfo).port,
     seen,
     abortedRequests: () => abortedRequests,
-    act: (next) => {
+    setHandler: (next) => {
       handler = next;
     },
     close: () =>
--- a/packages/gateway/test/support/test-dialect.ts
+++ b/packages/gateway/test/support/test-dialect.ts
@@ -24,7 +24,7 @@
     const organisation = fields.organisation === undefined ? [] : ['x-org', fields.organisation];
     return [...kept, ...set, ...organisation, 'content-length', String(bodyBytes)];
   },
-  readAnswer: (headers) => ({
+  readResponse: (headers) => ({
     requestId: first(headers['x-id']),
     notRun: headers['x-not-run'] !== undefined,
     hasReceipt: headers['x-receipt'] !== undefined,
--- a/packages/gateway/test/support/with-entry.ts
+++ b/packages/gateway/test/support/with-entry.ts
@@ -3,14 +3,14 @@
 import { startEntry } from './entry.js';
 import type { EntryOptions } from './entry.js';
 import { startFakeUpstream } from './fake-upstream.js';
-import type { Act, FakeUpstream } from './fake-upstream.js';
+import type { Handler, FakeUpstream } from './fake-upstream.js';
 
 /** A running entry. */
 export type Entry = Awaited<ReturnType<typeof startEntry>>;
 
 /** Runs a test against an entry with one fake upstream for each handler. */
 export const withEntry = async (
-  acts: readonly Act[],
+  acts: readonly Handler[],
   options: Omit<EntryOptions, 'upstreams'>,
   test: (entry: Entry, upstreams: readonly FakeUpstream[]) => Promise<void>,
 ): Promise<void> => {
@@ -24,7 +24,7 @@
 };
 
 /** Number of requests that the upstreams have received. */
-export const runs = (upstreams: readonly FakeUpstream[]): number =>
+export const countRequests = (upstreams: readonly FakeUpstream[]): number =>
   upstreams.reduce((sum, { seen }) => sum + seen.length, 0);
 
 /** Waits in real time. */
@@ -36,8 +36,8 @@
 /** Options of a route whose requests must not run more than once. */
 export const unsafeRoute = { kind: 'unsafe' as const, maxAttempts: 1 };
 /** Options of a route with resumable streams. */
-export const stream = { kind: 'stream' as const, resumable: true, targetPauseMs: 120 };
+export const streamRoute = { kind: 'stream' as const, resumable: true, targetPauseMs: 120 };
 
 /** Ids of the events in a response body. */
-export const eventsOf = (body: string): number[] =>
+export const eventIdsOf = (body: string): number[] =>
   [...body.matchAll(/^id: (\d+)$/gm)].map(([, id]) => Number(id));
--- a/packages/gateway/test/upstream-selection.test.ts
+++ b/packages/gateway/test/upstream-selection.test.ts
@@ -2,7 +2,7 @@
 import { createManualClock, createSeededRandom } from '@plantaindrum/common';
 import type { ManualClock, Random } from '@plantaindrum/common';
 import { createPeerArrivals } from '../src/upstreams/arrivals.js';
-import { pickOffer } from '../src/upstreams/choice.js';
+import { selectCandidate } from '../src/upstreams/choice.js';
 
 interface Load {
   entries: number;
@@ -53,7 +53,7 @@
     );
     const candidates = knownLoads.map((n) => ({ cost: n / slots, free: slots - n }));
     const unreported = estimatesPeers ? (estimates[entry]?.unreported('s') ?? 0) : 0;
-    const upstream = pickOffer(candidates, unreported, random);
+    const upstream = selectCandidate(candidates, unreported, random);
     const inFlight = running.filter((request) => request.upstream === upstream).length;
     if (inFlight >= slots) overflows += 1;
     const counts = actual[entry];
@@ -102,7 +102,7 @@
 
   it('selects the least loaded upstream when no other entry sends', () => {
     const candidates = [0.5, 0.25, 0.75].map((cost) => ({ cost, free: 4 - 4 * cost }));
-    expect(pickOffer(candidates, 0, () => 0.9)).to.equal(1);
+    expect(selectCandidate(candidates, 0, () => 0.9)).to.equal(1);
   });
 
   it('excludes failing and full upstreams, however many requests are expected', () => {
@@ -111,13 +111,13 @@
       { cost: 1.5, free: 4 },
       { cost: 0.9, free: 0 },
     ];
-    const selected = [0, 0.5, 0.99].map((value) => pickOffer(candidates, 100, () => value));
+    const selected = [0, 0.5, 0.99].map((value) => selectCandidate(candidates, 100, () => value));
     expect(selected).to.deep.equal([0, 0, 0]);
   });
 
   it('selects a full upstream if all are full, and none if there are none', () => {
-    expect(pickOffer([{ cost: 3, free: -2 }], 5, () => 0.5)).to.equal(0);
-    expect(pickOffer([], 5, () => 0.5)).to.equal(-1);
+    expect(selectCandidate([{ cost: 3, free: -2 }], 5, () => 0.5)).to.equal(0);
+    expect(selectCandidate([], 5, () => 0.5)).to.equal(-1);
   });
 
   // Guards against a selection of quadratic cost: comparing each upstream with each other one takes 25 times as long
@@ -142,7 +142,7 @@
     const sorting = 2 * Math.ceil(Math.log2(upstreams));
     for (let n = 0; n < 300; n += 1) {
       reads = 0;
-      pickOffer(candidates, 18, random);
+      selectCandidate(candidates, 18, random);
       expect(reads).to.be.above(upstreams);
       expect(reads).to.be.at.most(upstreams * (6 + sorting));
     }
--- a/packages/lab/src/bench/unit-costs.ts
+++ b/packages/lab/src/bench/unit-costs.ts
@@ -5,7 +5,7 @@
 
 import { createSeededRandom } from '@plantaindrum/common';
 import type { Random } from '@plantaindrum/common';
-import { pickOffer } from '@plantaindrum/gateway';
+import { selectCandidate } from '@plantaindrum/gateway';
 import { createFrameSplitter, decodeFrame, encodeFrame } from '@plantaindrum/link';
 
 /** A unit cost, as the ratio to the baseline that `against` names. */
@@ -43,7 +43,7 @@
   return {
     name: `selection among ${upstreams} upstreams`,
     against: 'the minimum of as many costs',
-    ratio: measureRatio(() => pickOffer(offers, upstreams / 10, random), findMinCost),
+    ratio: measureRatio(() => selectCandidate(offers, upstreams / 10, random), findMinCost),
   };
 };
 
--- a/packages/lab/src/emulator/day.ts
+++ b/packages/lab/src/emulator/day.ts
@@ -2,7 +2,7 @@
 
 import { createManualClock, createSeededRandom } from '@plantaindrum/common';
 import type { ManualClock, Random } from '@plantaindrum/common';
-import { createUpstream, withoutSlow } from '@plantaindrum/gateway';
+import { createUpstream, withoutStragglers } from '@plantaindrum/gateway';
 import { normal } from '../experiments/balance-traces.js';
 import { median, percentile } from '../harness/statistics.js';
 import { createContent } from './content.js';
@@ -74,9 +74,9 @@
   const counts = { streams: 0, onTime: 0, late: 0, lateFirst: 0, refused: 0 };
 
   const assignRank = (request: EngineRequest, written = 0): void => {
-    const candidates = new Set(spec.keepsSlowRanks ? upstreams : withoutSlow(upstreams));
+    const candidates = new Set(spec.keepsSlowRanks ? upstreams : withoutStragglers(upstreams));
     const loadScores = upstreams.map((upstream) =>
-      candidates.has(upstream) ? upstream.costOfNext() : Infinity,
+      candidates.has(upstream) ? upstream.loadScoreOfNext() : Infinity,
     );
     const rank = loadScores.indexOf(Math.min(...loadScores));
     upstreams[rank]?.begin();
@@ -154,7 +154,7 @@
   const applySlowdown = (rank: number, factor: number): void => {
     group.slow(rank, factor);
     clock.after(SLOWDOWN_REPORT_DELAY_MS, () => {
-      upstreams[rank]?.notePace(factor);
+      upstreams[rank]?.recordSlowdown(factor);
       if (factor > 1 && !spec.keepsSlowRanks) moveStreams(rank);
     });
   };
--- a/packages/lab/src/emulator/policies.ts
+++ b/packages/lab/src/emulator/policies.ts
@@ -25,7 +25,7 @@
       const options = { ...bounds, passTimes, isReturn };
       return admission.decide({ service: SERVICE, ...options }, upstreams).admitted;
     },
-    recordPause: (ms) => admission.pace(SERVICE).notePause(ms),
+    recordPause: (ms) => admission.eventTimings(SERVICE).recordPause(ms),
     recordEnd: noop,
   };
 };
--- a/packages/lab/src/experiments/quarantine.ts
+++ b/packages/lab/src/experiments/quarantine.ts
@@ -12,7 +12,7 @@
 } from '@plantaindrum/common';
 import type { ManualClock, Random } from '@plantaindrum/common';
 import { createQuarantine, fingerprintOf } from '@plantaindrum/gateway';
-import type { News, RequestQuarantine } from '@plantaindrum/gateway';
+import type { QuarantineUpdate, RequestQuarantine } from '@plantaindrum/gateway';
 import type { ExperimentOptions } from './table.js';
 
 /** How evidence reaches the other entries. */
@@ -82,16 +82,16 @@
   const usesRecord = way === 'record' || way === 'notes-and-record';
   const entries: RequestQuarantine[] = [];
 
-  const deliver = (from: number, news: News, delayMs: number): void => {
+  const deliver = (from: number, news: QuarantineUpdate, delayMs: number): void => {
     clock.after(delayMs, () => {
       entries.forEach((entry, at) => {
-        if (at !== from && !isCutOff(at)) entry.takeNews(`e${from}`, news);
+        if (at !== from && !isCutOff(at)) entry.handlePeerUpdate(`e${from}`, news);
       });
     });
   };
 
   /** By the record alone, each word is a write that waits until the store is there. */
-  const deliverByStore = (from: number, news: News): void => {
+  const deliverByStore = (from: number, news: QuarantineUpdate): void => {
     if (!isStoreUp()) {
       clock.after(500, () => deliverByStore(from, news));
       return;
@@ -102,7 +102,7 @@
 
   const start = (at: number): RequestQuarantine =>
     createQuarantine({
-      tell: (news) => {
+      broadcast: (news) => {
         if (isCutOff(at)) return;
         if (usesNotes) deliver(at, news, LINK_MS);
         else if (usesRecord) deliverByStore(at, news);
@@ -122,13 +122,13 @@
     entries.forEach((entry) => entry.close());
     entries.length = 0;
     for (let at = 0; at < ENTRIES; at += 1) entries.push(start(at));
-    record.forEach((value, key) => entries.forEach((entry) => entry.takeRecord({ key, value })));
+    record.forEach((value, key) => entries.forEach((entry) => entry.applyRecord({ key, value })));
   };
   startAll();
   /** Entries that are linked again tell each other all they know. */
   if (trouble === 'entry-cut-off' && usesNotes) {
     clock.after(TROUBLE.at + TROUBLE.forMs, () => {
-      entries.forEach((entry, at) => entries[0]?.takeNews(`e${at}`, entry.whole()));
+      entries.forEach((entry, at) => entries[0]?.handlePeerUpdate(`e${at}`, entry.fullUpdate()));
     });
   }
   return { entries, writes: () => writes, restartAll: startAll };
@@ -152,7 +152,7 @@
     crashedAt.push(clock.monotonic());
     run.end();
     await clock.advance(NOTICED_MS);
-    entry.noteEnded(upstream, 'refused-connection');
+    entry.handleEnd(upstream, 'refused-connection');
   };
 
   while (clock.monotonic() < lengthMs) {
