--- a/packages/gateway/src/admission/admission.ts
+++ b/packages/gateway/src/admission/admission.ts
@@ -2,8 +2,8 @@
 
 import type { Clock, EventLog } from '@plantaindrum/common';
 import type { Upstream } from '../upstreams/upstream.js';
-import type { EventTimings } from './pace.js';
-import { createEventTimings } from './pace.js';
+import type { EventTimings } from './event-timings.js';
+import { createEventTimings } from './event-timings.js';
 import { maxStreamsWithin, proportionalPassTimes } from './pass-model.js';
 import type { PassState, PassTimes } from './pass-model.js';
 
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,6 +1,6 @@
 export * from './admission/admission.js';
 export * from './admission/pass-model.js';
-export * from './door.js';
+export * from './caller-server.js';
 export * from './gateway.js';
 export * from './intent/shortest-pause.js';
 export * from './quarantine/index.js';
@@ -8,4 +8,4 @@
 export * from './upstreams/rate-limit.js';
 export * from './upstreams/slow-upstreams.js';
 export * from './upstreams/upstream.js';
-export { selectCandidate } from './upstreams/choice.js';
+export { selectCandidate } from './upstreams/upstream-selection.js';
--- a/packages/gateway/src/mesh/mesh.ts
+++ b/packages/gateway/src/mesh/mesh.ts
@@ -6,15 +6,15 @@
 import type { FrameHandler, Link, LinkClient, LinkOptions, LinkServer } from '@plantaindrum/link';
 import { readPush, readRecordList } from '@plantaindrum/mirror';
 import type { AskPeers, NodeRecord, PeerPush, PeerRecords, TopicPlace } from '@plantaindrum/mirror';
-import type { ListenAddress } from '../door.js';
-import type { QuarantineUpdate } from '../quarantine/news.js';
-import { readEngineSlowdown } from './engine-pace.js';
-import type { EngineSlowdown } from './engine-pace.js';
-import { createConnectedEntries } from './linked-share.js';
-import { readLoadUpdate } from './load-share.js';
-import type { LoadUpdate } from './load-share.js';
-import { readRateLimitUpdate } from './rate-news.js';
-import type { RateLimitUpdate } from './rate-news.js';
+import type { ListenAddress } from '../caller-server.js';
+import type { QuarantineUpdate } from '../quarantine/quarantine-update.js';
+import { readEngineSlowdown } from './engine-slowdown.js';
+import type { EngineSlowdown } from './engine-slowdown.js';
+import { createConnectedEntries } from './connected-entries.js';
+import { readLoadUpdate } from './load-broadcast.js';
+import type { LoadUpdate } from './load-broadcast.js';
+import { readRateLimitUpdate } from './rate-limit-update.js';
+import type { RateLimitUpdate } from './rate-limit-update.js';
 
 /** The links of one entry to the others. */
 export interface Mesh {
--- a/packages/gateway/src/quarantine/index.ts
+++ b/packages/gateway/src/quarantine/index.ts
@@ -1,5 +1,5 @@
 export * from './crash-evidence.js';
 export * from './fingerprint.js';
-export type { QuarantineUpdate } from './news.js';
+export type { QuarantineUpdate } from './quarantine-update.js';
 export * from './quarantine.js';
-export * from './runs-at-upstreams.js';
+export * from './upstream-attempts.js';
--- a/packages/gateway/src/quarantine/news-teller.ts
+++ b/packages/gateway/src/quarantine/quarantine-broadcaster.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '@plantaindrum/common';
-import { MAX_REPORTS_PER_NOTE } from './news.js';
-import type { QuarantineUpdate } from './news.js';
+import { MAX_REPORTS_PER_NOTE } from './quarantine-update.js';
+import type { QuarantineUpdate } from './quarantine-update.js';
 
 /** Kinds of reports in a quarantine update. */
 export type ReportKind = 'crashes' | 'quarantined' | 'sound';
--- a/packages/gateway/src/quarantine/quarantine.ts
+++ b/packages/gateway/src/quarantine/quarantine.ts
@@ -5,14 +5,14 @@
 import type { UpstreamStart } from '../types.js';
 import { createCrashEvidence } from './crash-evidence.js';
 import type { Crash, Verdict } from './crash-evidence.js';
-import { MAX_REPORTS_PER_NOTE, readQuarantineUpdate } from './news.js';
-import type { CrashReport, QuarantineUpdate } from './news.js';
-import { createQuarantineBroadcaster, emptyQuarantineUpdate } from './news-teller.js';
+import { MAX_REPORTS_PER_NOTE, readQuarantineUpdate } from './quarantine-update.js';
+import type { CrashReport, QuarantineUpdate } from './quarantine-update.js';
+import { createQuarantineBroadcaster, emptyQuarantineUpdate } from './quarantine-broadcaster.js';
 import { createRecordWriter } from './record-writer.js';
 import { decodeRecord, encodeRecord } from './record.js';
-import { createUpstreamAttempts } from './runs-at-upstreams.js';
-import { createSuspectTrials } from './tried-suspects.js';
-import type { CrashedAttempt } from './runs-at-upstreams.js';
+import { createUpstreamAttempts } from './upstream-attempts.js';
+import { createSuspectTrials } from './suspect-trials.js';
+import type { CrashedAttempt } from './upstream-attempts.js';
 
 /** Why a request is not sent to an upstream. */
 export type QuarantineRefusal =
--- a/packages/gateway/src/readiness-server.ts
+++ b/packages/gateway/src/readiness-server.ts
@@ -3,7 +3,7 @@
 import { createServer } from 'node:http';
 import type { Server } from 'node:http';
 import type { Metrics } from '@plantaindrum/common';
-import type { ListenAddress } from './door.js';
+import type { ListenAddress } from './caller-server.js';
 
 /** A running readiness server. */
 export interface ReadinessServer {
--- a/packages/gateway/src/serving/types.ts
+++ b/packages/gateway/src/serving/types.ts
@@ -1,7 +1,7 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Clock, EventLog, Metrics, Random } from '@plantaindrum/common';
 import type { Admission } from '../admission/admission.js';
-import type { ServiceOutages } from '../admission/reopening.js';
+import type { ServiceOutages } from '../admission/service-outages.js';
 import type { RouteTable } from '../intent/route-table.js';
 import type { RequestQuarantine } from '../quarantine/index.js';
 import type { RetryBudget } from '../retry/budget.js';
--- a/packages/gateway/src/upstreams/directory.ts
+++ b/packages/gateway/src/upstreams/directory.ts
@@ -2,12 +2,12 @@
 
 import type { Clock, EventLog, Metrics, Random, Result } from '@plantaindrum/common';
 import type { KeyedChange } from '@plantaindrum/mirror';
-import type { EngineSlowdown } from '../mesh/engine-pace.js';
-import type { LoadUpdate } from '../mesh/load-share.js';
+import type { EngineSlowdown } from '../mesh/engine-slowdown.js';
+import type { LoadUpdate } from '../mesh/load-broadcast.js';
 import type { UpstreamRecordFault, UpstreamRecord } from '../types.js';
-import { createPeerArrivals } from './arrivals.js';
-import { selectCandidate } from './choice.js';
-import { loadScoreOf } from './cost.js';
+import { createPeerArrivals } from './peer-arrivals.js';
+import { selectCandidate } from './upstream-selection.js';
+import { loadScoreOf } from './load-score.js';
 import { createInvalidEntryRecorder } from './invalid-entries.js';
 import { createKnownStarts } from './known-starts.js';
 import { withoutStragglers } from './slow-upstreams.js';
--- a/packages/gateway/src/upstreams/rate-limits.ts
+++ b/packages/gateway/src/upstreams/rate-limits.ts
@@ -3,7 +3,7 @@
  */
 
 import type { EventLog, Metrics } from '@plantaindrum/common';
-import type { RateLimitUpdate } from '../mesh/rate-news.js';
+import type { RateLimitUpdate } from '../mesh/rate-limit-update.js';
 import type { Upstream } from './upstream.js';
 
 /** What a response says about the rate limit of its upstream. */
--- a/packages/gateway/src/upstreams/upstream.ts
+++ b/packages/gateway/src/upstreams/upstream.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '@plantaindrum/common';
 import type { UpstreamRecord } from '../types.js';
-import { createSlowdownTracker } from './pace-record.js';
+import { createSlowdownTracker } from './slowdown-tracker.js';
 import { createRateLimit } from './rate-limit.js';
 import type { RateLimit } from './rate-limit.js';
 
--- a/packages/gateway/test/pace.test.ts
+++ b/packages/gateway/test/event-timings.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import { createManualClock } from '@plantaindrum/common';
-import { createEventTimings } from '../src/admission/pace.js';
+import { createEventTimings } from '../src/admission/event-timings.js';
 
 describe("timeout of a stream's first event", () => {
   it('is well above a pass when first events come soon', () => {
--- a/packages/gateway/test/limits.test.ts
+++ b/packages/gateway/test/limits.test.ts
@@ -2,7 +2,7 @@
 import { createManualClock, silentEventLog } from '@plantaindrum/common';
 import { createAdmission } from '../src/admission/admission.js';
 import type { AdmissionRequest } from '../src/admission/admission.js';
-import { createConnectedEntries } from '../src/mesh/linked-share.js';
+import { createConnectedEntries } from '../src/mesh/connected-entries.js';
 import { createRetryBudget } from '../src/retry/budget.js';
 import type { UpstreamRecord } from '../src/index.js';
 import { createUpstream } from '../src/upstreams/upstream.js';
--- a/packages/gateway/test/load-share.test.ts
+++ b/packages/gateway/test/load-broadcast.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import { createManualClock } from '@plantaindrum/common';
-import { createLoadBroadcaster, readLoadUpdate } from '../src/mesh/load-share.js';
-import type { LoadUpdate } from '../src/mesh/load-share.js';
+import { createLoadBroadcaster, readLoadUpdate } from '../src/mesh/load-broadcast.js';
+import type { LoadUpdate } from '../src/mesh/load-broadcast.js';
 
 describe('load updates between entries', () => {
   it('broadcasts changes, and a full update at longer intervals', async () => {
--- a/packages/gateway/test/quarantine.test.ts
+++ b/packages/gateway/test/quarantine.test.ts
@@ -7,7 +7,7 @@
   countSuccessiveCrashes,
 } from '../src/quarantine/index.js';
 import type { CrashEvidence, RequestQuarantine } from '../src/quarantine/index.js';
-import type { QuarantineUpdate } from '../src/quarantine/news.js';
+import type { QuarantineUpdate } from '../src/quarantine/quarantine-update.js';
 
 const fingerprint = (n: number): string => n.toString(16).padStart(32, '0');
 const HARMFUL = fingerprint(1);
--- a/packages/gateway/test/rate-limit.test.ts
+++ b/packages/gateway/test/rate-limit.test.ts
@@ -1,8 +1,8 @@
 import { expect } from 'chai';
 import { createManualClock, createMetrics, silentEventLog } from '@plantaindrum/common';
-import { createConnectedEntries } from '../src/mesh/linked-share.js';
-import { readRateLimitUpdate } from '../src/mesh/rate-news.js';
-import type { RateLimitUpdate } from '../src/mesh/rate-news.js';
+import { createConnectedEntries } from '../src/mesh/connected-entries.js';
+import { readRateLimitUpdate } from '../src/mesh/rate-limit-update.js';
+import type { RateLimitUpdate } from '../src/mesh/rate-limit-update.js';
 import { createRateLimit } from '../src/upstreams/rate-limit.js';
 import { createRateLimits } from '../src/upstreams/rate-limits.js';
 import { createUpstream } from '../src/upstreams/upstream.js';
--- a/packages/gateway/test/reopening.test.ts
+++ b/packages/gateway/test/service-outages.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import { createManualClock, createMetrics, silentEventLog } from '@plantaindrum/common';
-import { createServiceOutages } from '../src/admission/reopening.js';
-import type { WaitOutcome } from '../src/admission/reopening.js';
+import { createServiceOutages } from '../src/admission/service-outages.js';
+import type { WaitOutcome } from '../src/admission/service-outages.js';
 import { answerOk, refuseNotRun, streamEvents } from './support/fake-upstream.js';
 import type { Handler } from './support/fake-upstream.js';
 import { eventIdsOf, countRequests, streamRoute, wait, withEntry } from './support/with-entry.js';
--- a/packages/gateway/test/slow-upstreams.test.ts
+++ b/packages/gateway/test/slow-upstreams.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { createManualClock } from '@plantaindrum/common';
-import { createSlowdownTracker } from '../src/upstreams/pace-record.js';
+import { createSlowdownTracker } from '../src/upstreams/slowdown-tracker.js';
 import { maxUsedSlowdown } from '../src/upstreams/slow-upstreams.js';
 import type { UpstreamSlowdown } from '../src/upstreams/slow-upstreams.js';
 import { streamEvents } from './support/fake-upstream.js';
--- a/packages/gateway/test/support/entry.ts
+++ b/packages/gateway/test/support/entry.ts
@@ -11,15 +11,15 @@
 } from '@plantaindrum/common';
 import type { Clock } from '@plantaindrum/common';
 import { createAdmission } from '../../src/admission/admission.js';
-import { createServiceOutages } from '../../src/admission/reopening.js';
+import { createServiceOutages } from '../../src/admission/service-outages.js';
 import { createExitCheck, tryConnect } from '../../src/attempts/exit-check.js';
 import type { Intent, Route, UpstreamRecord } from '../../src/index.js';
 import { createRouteTable } from '../../src/intent/route-table.js';
 import { createQuarantine } from '../../src/quarantine/index.js';
-import type { QuarantineUpdate } from '../../src/quarantine/news.js';
+import type { QuarantineUpdate } from '../../src/quarantine/quarantine-update.js';
 import { createRetryBudget } from '../../src/retry/budget.js';
 import { createRequestHandler } from '../../src/serving/serve-request.js';
-import type { RateLimitUpdate } from '../../src/mesh/rate-news.js';
+import type { RateLimitUpdate } from '../../src/mesh/rate-limit-update.js';
 import { createDirectory } from '../../src/upstreams/directory.js';
 import { createRateLimits } from '../../src/upstreams/rate-limits.js';
 import type { FakeUpstream } from './fake-upstream.js';
--- a/packages/gateway/test/upstream-selection.test.ts
+++ b/packages/gateway/test/upstream-selection.test.ts
@@ -1,8 +1,8 @@
 import { expect } from 'chai';
 import { createManualClock, createSeededRandom } from '@plantaindrum/common';
 import type { ManualClock, Random } from '@plantaindrum/common';
-import { createPeerArrivals } from '../src/upstreams/arrivals.js';
-import { selectCandidate } from '../src/upstreams/choice.js';
+import { createPeerArrivals } from '../src/upstreams/peer-arrivals.js';
+import { selectCandidate } from '../src/upstreams/upstream-selection.js';
 
 interface Load {
   entries: number;
