--- a/packages/lab/src/emulator/coordinate.ts
+++ b/packages/lab/src/emulator/coordinate.ts
@@ -2,7 +2,7 @@
 
 import { createMetrics, silentEventLog, sleep } from '@plantaindrum/common';
 import type { ManualClock, Random } from '@plantaindrum/common';
-import { createCoordinator, oneByOne } from '@plantaindrum/rank-groups';
+import { createCoordinator, createGroupPort } from '@plantaindrum/rank-groups';
 import type { OrderOutcome, RankOrder, RankPlacement, RankPort } from '@plantaindrum/rank-groups';
 import type { DaySpec } from './day-types.js';
 import type { EngineGroup } from './engine-types.js';
@@ -60,10 +60,10 @@
     return { epoch: 1, version, experts: placement.map((set) => set[rank] ?? []) };
   };
   const port = {
-    ...oneByOne(ranks, clock),
+    ...createGroupPort(ranks, clock),
     placements: async (requestedRanks: readonly number[]) =>
       new Map(requestedRanks.map((rank) => [rank, getPlacement(rank)] as const)),
-    noteMapInUse: () => {},
+    publishMapInUse: () => {},
   };
   const coordinator = createCoordinator({
     port,
@@ -71,10 +71,10 @@
     shape: { sets, experts, places, spare, copyMs, targetPauseMs: TARGET_PAUSE_MS },
     weighs: spec.weighs ?? 'skew',
     isLowest: () => true,
-    untilLowest: async () => {},
-    knownPlacement: () => undefined,
-    newsEveryMs: () => TELEMETRY_INTERVAL_MS,
-    orderOwnFromAfar: (rankOrder) => order(0, rankOrder),
+    whenLowest: async () => {},
+    cachedPlacement: () => undefined,
+    telemetryIntervalMs: () => TELEMETRY_INTERVAL_MS,
+    orderOwnRankViaPeer: (rankOrder) => order(0, rankOrder),
     clock,
     random,
     metrics: createMetrics(),
@@ -85,7 +85,7 @@
     const counts = [...group.counts(rank)];
     const newCounts = counts.map((n, at) => n - (previousCounts[rank]?.[at] ?? 0));
     previousCounts[rank] = counts;
-    if (isReachable(rank)) coordinator.onUpdate({ report: group.report(rank), picks: newCounts });
+    if (isReachable(rank)) coordinator.onUpdate({ report: group.report(rank), counts: newCounts });
     clock.after(TELEMETRY_INTERVAL_MS, () => sendTelemetry(rank));
   };
   for (let rank = 0; rank < spec.ranks; rank += 1) clock.after(rank, () => sendTelemetry(rank));
--- a/packages/rank-groups/src/change/group-port.ts
+++ b/packages/rank-groups/src/change/group-port.ts
@@ -114,7 +114,7 @@
  * Creates a group port that calls each rank directly, for groups whose ranks are close to the
  * coordinator.
  */
-export const oneByOne = (port: RankPort, clock: Clock): GroupPort => ({
+export const createGroupPort = (port: RankPort, clock: Clock): GroupPort => ({
   ...port,
   orderTimeoutMs: () => ORDER_TIMEOUT_MS,
   reports: async (ranks) => {
--- a/packages/rank-groups/src/change/switch-map.ts
+++ b/packages/rank-groups/src/change/switch-map.ts
@@ -55,7 +55,7 @@
    * Sends an order to the local rank through an agent on another VM; undefined when no other agent
    * is linked.
    */
-  orderOwnFromAfar: (order: RankOrder) => Promise<OrderOutcome> | undefined;
+  orderOwnRankViaPeer: (order: RankOrder) => Promise<OrderOutcome> | undefined;
   /** Current time of a pass, in ms; undefined before it is known. */
   passMs: () => number | undefined;
   /** Target for the longest pause in a stream, in ms; undefined if none is declared. */
@@ -117,7 +117,7 @@
 
 /** Creates the function that changes the map of a coordinator's group. */
 export const createMapSwitch = (options: SwitchOptions) => {
-  const { port, ownRank, orderOwnFromAfar, clock, log } = options;
+  const { port, ownRank, orderOwnRankViaPeer, clock, log } = options;
   const allocateHoldStep = createHoldStepAllocator();
   // After a hold through another agent went unanswered, the next one is sent directly. Otherwise a
   // group whose other agent can't reach the engine would never change its map.
@@ -128,7 +128,7 @@
 
   const sendHold = async (epoch: number, step: number): Promise<RetriedOutcome | 'no-answer'> => {
     const order = { op: 'hold', epoch, step } as const;
-    const viaPeer = usesPeer ? orderOwnFromAfar(order) : undefined;
+    const viaPeer = usesPeer ? orderOwnRankViaPeer(order) : undefined;
     const outcome = await (viaPeer ?? retryOrder(port, clock, ownRank, order));
     usesPeer = outcome !== 'no-answer';
     return outcome;
--- a/packages/rank-groups/src/coordinator.ts
+++ b/packages/rank-groups/src/coordinator.ts
@@ -21,7 +21,7 @@
 export interface RankUpdate {
   report: RankReport;
   /** Selection counts of each expert since the last update. */
-  picks: number[];
+  counts: number[];
 }
 
 /** Directs a group's map changes while this agent's rank is the lowest linked one. */
@@ -42,18 +42,18 @@
   /** Whether this agent coordinates. */
   isLowest: () => boolean;
   /** Resolves once this agent coordinates; immediately if it already does. */
-  untilLowest: () => Promise<void>;
+  whenLowest: () => Promise<void>;
   /**
    * Returns a map that this agent has received or planned, which need not be read from the ranks.
    */
-  knownPlacement: (epoch: number, version: number) => Placement | undefined;
+  cachedPlacement: (epoch: number, version: number) => Placement | undefined;
   /** Time between two telemetry polls of the ranks, in ms. */
-  newsEveryMs: () => number;
+  telemetryIntervalMs: () => number;
   /**
    * Sends an order to the local rank through an agent on another VM; undefined when no other agent
    * is linked.
    */
-  orderOwnFromAfar: MapSwitchOptions['orderOwnFromAfar'];
+  orderOwnRankViaPeer: MapSwitchOptions['orderOwnRankViaPeer'];
   clock: Clock;
   random: Random;
   metrics: Metrics;
@@ -112,7 +112,7 @@
     sets: shape.sets,
     experts: shape.experts,
     ranks: port.size,
-    sampleMs: () => options.newsEveryMs() * SAMPLE_TIME_FACTOR,
+    sampleMs: () => options.telemetryIntervalMs() * SAMPLE_TIME_FACTOR,
     clock,
   });
   let stopped = false;
@@ -134,7 +134,7 @@
     targetMs: shape.targetPauseMs,
   });
   const mapReader = createMapReader({
-    cachedPlacement: options.knownPlacement,
+    cachedPlacement: options.cachedPlacement,
     placements: port.placements,
     log,
   });
@@ -142,19 +142,19 @@
   const isLinking = (): boolean => clock.monotonic() - coordinatingSince < LINKING_PERIOD_MS;
   const recordBlocker = createBlockerLog(isLinking, clock, log);
 
-  const onUpdate = ({ report, picks }: RankUpdate): void => {
+  const onUpdate = ({ report, counts }: RankUpdate): void => {
     latestReports.record(report);
-    if (picks.length > 0) popularity.add(picks);
+    if (counts.length > 0) popularity.add(counts);
   };
 
-  const maxReportAgeMs = (): number => MAX_REPORT_AGE_MS + 2 * options.newsEveryMs();
+  const maxReportAgeMs = (): number => MAX_REPORT_AGE_MS + 2 * options.telemetryIntervalMs();
 
   /** Reads the state of ranks whose agents are silent; their selection counts stay unknown. */
   const readSilentRanks = async (): Promise<void> => {
     if (isLinking()) return;
     const silent = latestReports.olderThan(allRanks(port), maxReportAgeMs());
     if (silent.length === 0) return;
-    (await port.reports(silent)).forEach((report) => onUpdate({ report, picks: [] }));
+    (await port.reports(silent)).forEach((report) => onUpdate({ report, counts: [] }));
   };
 
   const reportsOfOpenGroup = (): RankReport[] | undefined => {
@@ -184,7 +184,7 @@
     }
     mapEpoch = epoch;
     mapVersion = version;
-    port.noteMapInUse(epoch, version, placement);
+    port.publishMapInUse(epoch, version, placement);
     log.event('map-known', { epoch, version });
   };
 
@@ -216,7 +216,7 @@
     lastPlannedVersion = version;
     const { before, after, copies, maxCopiesPerRank } = plan;
     const slowest = Math.max(...allRanks(port).map((rank) => latestReports.get(rank)?.pace ?? 1));
-    const newsMs = Math.round(options.newsEveryMs());
+    const newsMs = Math.round(options.telemetryIntervalMs());
     log.event('map-planned', {
       epoch,
       version,
@@ -231,14 +231,14 @@
     const outcome = await switchMap({ epoch, version, placement: plan.placement, current, copyMs });
     // The last report of the local rank may date from when it held the pass.
     const ownReport = await port.report(options.ownRank);
-    if (ownReport) onUpdate({ report: ownReport, picks: [] });
+    if (ownReport) onUpdate({ report: ownReport, counts: [] });
     metrics.count('rank_map_changes', { outcome });
     metrics.count('rank_experts_copied', {}, copies);
     if (outcome === 'switched') {
       placement = plan.placement;
       mapVersion = version;
       switchedAt = clock.monotonic();
-      port.noteMapInUse(epoch, version, placement);
+      port.publishMapInUse(epoch, version, placement);
       return;
     }
     log.event('map-not-changed', { epoch, version, outcome });
@@ -300,7 +300,7 @@
       }
       wasLowest = isLowest;
       if (isLowest && !stopped) await checkGroup();
-      if (!isLowest) await options.untilLowest();
+      if (!isLowest) await options.whenLowest();
     }
   };
   void run();
--- a/packages/rank-groups/src/rank-agent.ts
+++ b/packages/rank-groups/src/rank-agent.ts
@@ -132,7 +132,7 @@
     onReport: (report) => {
       publishPlace(report);
       slowdownReporter.record(report);
-      coordinator?.onUpdate({ report, picks: [] });
+      coordinator?.onUpdate({ report, counts: [] });
     },
     // The coordinator takes pass and map in use from its own rank, so that rank's report must be
     // the latest.
@@ -247,7 +247,7 @@
     const poller = createTelemetryPoller({
       whenCoordinating: rankLinks.whenLowest,
       queryTelemetry: port.telemetry,
-      onReport: (report) => coordinator?.onUpdate({ report, picks: [] }),
+      onReport: (report) => coordinator?.onUpdate({ report, counts: [] }),
       onSelectionCounts: (selectionCounts) => {
         coordinator?.onSelectionCounts(selectionCounts);
         rankLinks.sendToStandby(selectionCounts);
@@ -261,10 +261,10 @@
       shape,
       weighs: options.weighs,
       isLowest: rankLinks.isLowest,
-      untilLowest: rankLinks.whenLowest,
-      knownPlacement: placementCache.find,
-      newsEveryMs: poller.intervalMs,
-      orderOwnFromAfar: orderOwnRankViaPeer,
+      whenLowest: rankLinks.whenLowest,
+      cachedPlacement: placementCache.find,
+      telemetryIntervalMs: poller.intervalMs,
+      orderOwnRankViaPeer,
       clock,
       random,
       metrics,
--- a/packages/rank-groups/src/tree/rank-port.ts
+++ b/packages/rank-groups/src/tree/rank-port.ts
@@ -59,7 +59,7 @@
    */
   forwardNodes(push: PeerPush): void;
   /** Sends the map in use to all ranks' agents, so that the next one can be sent as a delta. */
-  noteMapInUse(epoch: number, version: number, placement: Placement): void;
+  publishMapInUse(epoch: number, version: number, placement: Placement): void;
 }
 
 type MethodName = keyof RankAnswers;
@@ -313,7 +313,7 @@
     forwardNodes: (push) => {
       void callRanks('nodes', push, otherRanks());
     },
-    noteMapInUse: (forEpoch, version, placement) => {
+    publishMapInUse: (forEpoch, version, placement) => {
       inUse = { epoch: forEpoch, version };
       if (placementCache.find(forEpoch, version)) return;
       placementCache.put(forEpoch, version, placement);
--- a/packages/rank-groups/test/coordinator.test.ts
+++ b/packages/rank-groups/test/coordinator.test.ts
@@ -48,16 +48,16 @@
         const there = ranks.filter((rank) => !frozen.has(rank));
         return new Map(there.map((rank) => [rank, group.placement(rank)] as const));
       },
-      noteMapInUse: () => {},
+      publishMapInUse: () => {},
     },
     ownRank: 0,
     shape,
     weighs: 'skew',
     isLowest: () => true,
-    untilLowest: async () => {},
-    knownPlacement: () => undefined,
-    newsEveryMs: () => 2 * UPDATE_MS,
-    orderOwnFromAfar: () => undefined,
+    whenLowest: async () => {},
+    cachedPlacement: () => undefined,
+    telemetryIntervalMs: () => 2 * UPDATE_MS,
+    orderOwnRankViaPeer: () => undefined,
     clock,
     random: createSeededRandom(3),
     metrics: createMetrics(),
@@ -66,7 +66,7 @@
   });
   const sendUpdates = (): void => {
     for (let rank = 0; rank < RANKS; rank += 1) {
-      if (!frozen.has(rank)) coordinator.onUpdate({ report: group.report(rank), picks: PICKS });
+      if (!frozen.has(rank)) coordinator.onUpdate({ report: group.report(rank), counts: PICKS });
     }
   };
   const run = async (ms: number): Promise<number> => {
@@ -101,7 +101,7 @@
   it('continues at once when the VM that sent the hold freezes', async () => {
     let gaveHold = false;
     const setup: Setup = start({
-      orderOwnFromAfar: async (order): Promise<OrderOutcome> => {
+      orderOwnRankViaPeer: async (order): Promise<OrderOutcome> => {
         await setup.group.port(() => true).order(0, order);
         gaveHold = true;
         setup.frozen.add(RANKS - 1);
@@ -120,7 +120,7 @@
   // ranks were already armed, the pass would have to wait for the one rank whose state is unknown.
   it('continues at once when that VM freezes right after its answer', async () => {
     const setup: Setup = start({
-      orderOwnFromAfar: (order) => {
+      orderOwnRankViaPeer: (order) => {
         setup.clock.after(4, () => setup.frozen.add(RANKS - 1));
         return setup.group.port(() => true).order(0, order);
       },
@@ -138,7 +138,7 @@
     let isLowest = false;
     const setup = start({
       isLowest: () => isLowest,
-      knownPlacement: () => [[[0], [1], [2], [3]]],
+      cachedPlacement: () => [[[0], [1], [2], [3]]],
     });
     await setup.run(1_000);
     expect(setup.group.report(0).map).to.equal(0);
@@ -153,7 +153,7 @@
   // is outdated. Without a fallback the map would never change again, and streams would be late
   // from the first shift on.
   it('changes the map although no other agent can send the hold', async () => {
-    const setup = start({ orderOwnFromAfar: async (): Promise<OrderOutcome> => 'no-answer' });
+    const setup = start({ orderOwnRankViaPeer: async (): Promise<OrderOutcome> => 'no-answer' });
     await setup.run(4_000);
     expect(setup.group.report(0).map).to.be.greaterThan(0);
     setup.coordinator.close();
--- a/packages/rank-groups/test/fakes/fake-ranks.ts
+++ b/packages/rank-groups/test/fakes/fake-ranks.ts
@@ -5,7 +5,7 @@
 import { sleep } from '@plantaindrum/common';
 import type { ManualClock } from '@plantaindrum/common';
 import { judgeRankOrder } from '@plantaindrum/stand-ins';
-import { oneByOne } from '../../src/index.js';
+import { createGroupPort } from '../../src/index.js';
 import type {
   GroupPort,
   OrderOutcome,
@@ -110,7 +110,7 @@
   return {
     placement: (rank) => ({ epoch, version: ranks[rank]?.map ?? 0, experts: experts(rank) }),
     port: (isAlive, isReachable = () => true) =>
-      oneByOne(
+      createGroupPort(
         {
           size: () => size,
           epoch: () => epoch,
--- a/packages/rank-groups/test/fakes/slow-group.ts
+++ b/packages/rank-groups/test/fakes/slow-group.ts
@@ -158,17 +158,17 @@
     shape,
     weighs: 'skew',
     isLowest: () => true,
-    untilLowest: async () => {},
-    knownPlacement: first.placementCache.find,
-    newsEveryMs: () => telemetryIntervalMs(),
-    orderOwnFromAfar: (order) => port.order(0, order),
+    whenLowest: async () => {},
+    cachedPlacement: first.placementCache.find,
+    telemetryIntervalMs: () => telemetryIntervalMs(),
+    orderOwnRankViaPeer: (order) => port.order(0, order),
     ...{ clock, metrics, log },
     random: createSeededRandom(5),
   });
   const telemetryPoller: TelemetryPoller = createTelemetryPoller({
     whenCoordinating: async () => {},
     queryTelemetry: rankPort.telemetry,
-    onReport: (report) => coordinator.onUpdate({ report, picks: [] }),
+    onReport: (report) => coordinator.onUpdate({ report, counts: [] }),
     onSelectionCounts: (picks) => coordinator.onSelectionCounts(picks),
     clock,
   });
--- a/packages/rank-groups/test/lead.test.ts
+++ b/packages/rank-groups/test/lead.test.ts
@@ -31,15 +31,19 @@
   const role = createCoordinatorRole(() => isLowest);
   const group = createFakeRanks({ size: RANKS, clock: manual, fault: () => 'slow', lateMs: 1 });
   const coordinator = createCoordinator({
-    port: { ...group.port(() => true), placements: async () => new Map(), noteMapInUse: () => {} },
+    port: {
+      ...group.port(() => true),
+      placements: async () => new Map(),
+      publishMapInUse: () => {},
+    },
     ownRank: 1,
     shape: { sets: 1, experts: RANKS, places: 2, spare: 1, copyMs: 20 },
     weighs: 'skew',
     isLowest: role.isLowest,
-    untilLowest: role.whenLowest,
-    knownPlacement: () => undefined,
-    newsEveryMs: () => 80,
-    orderOwnFromAfar: () => undefined,
+    whenLowest: role.whenLowest,
+    cachedPlacement: () => undefined,
+    telemetryIntervalMs: () => 80,
+    orderOwnRankViaPeer: () => undefined,
     clock,
     random: createSeededRandom(3),
     metrics: createMetrics(),
--- a/packages/rank-groups/test/map-change.test.ts
+++ b/packages/rank-groups/test/map-change.test.ts
@@ -57,9 +57,9 @@
   const isAlive = (): boolean => scenario.crashAt === 0 || group.orders() < scenario.crashAt;
   const change = (version: number, ownRank: number, alive: () => boolean) => {
     const port = group.port(alive);
-    const orderOwnFromAfar = (order: RankOrder) => port.order(ownRank, order);
+    const orderOwnRankViaPeer = (order: RankOrder) => port.order(ownRank, order);
     const options = {
-      ...{ port, ownRank, orderOwnFromAfar },
+      ...{ port, ownRank, orderOwnRankViaPeer },
       ...{ passMs: () => PASS_MS, targetMs: undefined, clock, random, log: silentEventLog },
     };
     const placement = { placement: PLACEMENT, current: PLACEMENT };
@@ -213,7 +213,7 @@
     const switchMap = createMapSwitch({
       port: group.port(() => true),
       ownRank: 0,
-      orderOwnFromAfar: () => undefined,
+      orderOwnRankViaPeer: () => undefined,
       passMs: () => PASS_MS,
       targetMs: undefined,
       clock,
