--- a/packages/rank-groups/src/change/settle.ts
+++ b/packages/rank-groups/src/change/resolve-held-pass.ts
@@ -4,7 +4,7 @@
 import type { Placement, RankReport } from '../types.js';
 import type { GroupPort } from './group-port.js';
 import { freshReports, retryOrder, retryAtAllRanks } from './group-port.js';
-import { abortHeldPass } from './withdraw.js';
+import { abortHeldPass } from './abort-held-pass.js';
 
 /** How a held pass was resolved. */
 export type ResolveOutcome = 'completed' | 'withdrawn' | 'nothing-held' | 'unreachable';
--- a/packages/rank-groups/src/change/switch-map.ts
+++ b/packages/rank-groups/src/change/switch-map.ts
@@ -40,7 +40,7 @@
 import { createArmingTime } from './arming-time.js';
 import type { GroupPort, RetriedOutcome } from './group-port.js';
 import { freshReports, retryAtAllRanks, retryOrder } from './group-port.js';
-import { abortHeldPass } from './withdraw.js';
+import { abortHeldPass } from './abort-held-pass.js';
 
 /** Outcome of a map change. */
 export type SwitchOutcome =
--- a/packages/rank-groups/src/coordinator.ts
+++ b/packages/rank-groups/src/coordinator.ts
@@ -3,12 +3,12 @@
 import type { Clock, EventLog, Metrics, Random } from '@plantaindrum/common';
 import { sleep } from '@plantaindrum/common';
 import { allRanks } from './change/group-port.js';
-import { resolveHeldPass } from './change/settle.js';
+import { resolveHeldPass } from './change/resolve-held-pass.js';
 import { createMapSwitch } from './change/switch-map.js';
 import type { SwitchOptions as MapSwitchOptions } from './change/switch-map.js';
 import { nextVersion } from './change/versions.js';
-import { createLatestReports } from './known-reports.js';
-import { createBlockerLog } from './obstacles.js';
+import { createLatestReports } from './latest-reports.js';
+import { createBlockerLog } from './blockers.js';
 import { createMapReader } from './map-reader.js';
 import { planChange } from './plan/plan.js';
 import type { MapPlan } from './plan/plan.js';
--- a/packages/rank-groups/src/links/shapes.ts
+++ b/packages/rank-groups/src/links/message-readers.ts
@@ -2,7 +2,7 @@
 
 import { isNumber, isObject } from '@plantaindrum/common';
 import type { OrderOutcome, RankOrder } from '../types.js';
-import type { EncodedMap } from './placement-deltas.js';
+import type { EncodedMap } from './placement-cache.js';
 
 /** Reads the outcome of an order; an invalid value counts as no answer. */
 export const readOutcome = (value: unknown): OrderOutcome =>
--- a/packages/rank-groups/src/links/rank-links.ts
+++ b/packages/rank-groups/src/links/rank-links.ts
@@ -15,9 +15,9 @@
 import type { GroupShape, OrderOutcome, RankOrder } from '../types.js';
 import { readShape } from './group-shape.js';
 import { agentIdentity } from './identity.js';
-import { HEARTBEAT_INTERVAL_MS, heartbeatIntervalMs } from './heartbeat-pace.js';
-import { createCoordinatorRole } from './lead.js';
-import { readOrderFor } from './shapes.js';
+import { HEARTBEAT_INTERVAL_MS, heartbeatIntervalMs } from './heartbeat-interval.js';
+import { createCoordinatorRole } from './coordinator-role.js';
+import { readOrderFor } from './message-readers.js';
 
 /** Links of one agent. */
 export interface RankLinks {
--- a/packages/rank-groups/src/tree/rank-port.ts
+++ b/packages/rank-groups/src/tree/rank-port.ts
@@ -9,9 +9,9 @@
 import type { PeerPush } from '@plantaindrum/mirror';
 import { RETRY_DELAY_MS, allRanks } from '../change/group-port.js';
 import type { GroupPort } from '../change/group-port.js';
-import { encodeMapDelta, encodeFullMap } from '../links/placement-deltas.js';
-import type { PlacementCache, EncodedMap } from '../links/placement-deltas.js';
-import type { RankMember } from '../member.js';
+import { encodeMapDelta, encodeFullMap } from '../links/placement-cache.js';
+import type { PlacementCache, EncodedMap } from '../links/placement-cache.js';
+import type { RankMember } from '../rank-member.js';
 import type {
   OrderOutcome,
   Placement,
--- a/packages/rank-groups/test/lead.test.ts
+++ b/packages/rank-groups/test/coordinator-role.test.ts
@@ -6,8 +6,8 @@
   silentEventLog,
 } from '@plantaindrum/common';
 import { createCoordinator } from '../src/index.js';
-import { createCoordinatorRole } from '../src/links/lead.js';
-import { createTelemetryPoller } from '../src/links/news-reader.js';
+import { createCoordinatorRole } from '../src/links/coordinator-role.js';
+import { createTelemetryPoller } from '../src/links/telemetry-poller.js';
 import { createFakeRanks } from './fakes/fake-ranks.js';
 
 const RANKS = 4;
--- a/packages/rank-groups/test/started-again.test.ts
+++ b/packages/rank-groups/test/engine-restart.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import { createManualClock, createMetrics, silentEventLog } from '@plantaindrum/common';
 import type { ExpertCounts, RankEngine, RankReport } from '../src/index.js';
-import { createRankMember } from '../src/member.js';
+import { createRankMember } from '../src/rank-member.js';
 
 const report = (startedAt: number): RankReport => ({
   ...{ group: 'g', startedAt, epoch: 1, rank: 0, size: 2, isOpen: true, step: 3, map: 0, pace: 1 },
--- a/packages/rank-groups/test/heartbeat-pace.test.ts
+++ b/packages/rank-groups/test/heartbeat-interval.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { HEARTBEAT_INTERVAL_MS, heartbeatIntervalMs } from '../src/links/heartbeat-pace.js';
+import { HEARTBEAT_INTERVAL_MS, heartbeatIntervalMs } from '../src/links/heartbeat-interval.js';
 import { buildTree, relaysOf } from '../src/tree/group-tree.js';
 
 const RANKS = 63;
--- a/packages/rank-groups/test/known-reports.test.ts
+++ b/packages/rank-groups/test/latest-reports.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import { createManualClock } from '@plantaindrum/common';
 import type { RankReport } from '../src/index.js';
-import { createLatestReports } from '../src/known-reports.js';
+import { createLatestReports } from '../src/latest-reports.js';
 
 const report = (overrides: Partial<RankReport>): RankReport => ({
   ...{
--- a/packages/rank-groups/test/links.test.ts
+++ b/packages/rank-groups/test/map-encoding.test.ts
@@ -5,7 +5,7 @@
   createPlacementCache,
   encodeMapDelta,
   encodeFullMap,
-} from '../src/links/placement-deltas.js';
+} from '../src/links/placement-cache.js';
 import { deflateNumbers, inflateNumbers, packNumbers, unpackNumbers } from '../src/tree/packing.js';
 import type { Placement } from '../src/index.js';
 
--- a/packages/rank-groups/test/member.test.ts
+++ b/packages/rank-groups/test/rank-member.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import { createManualClock, createMetrics, silentEventLog, sleep } from '@plantaindrum/common';
 import type { RankEngine, RankReport } from '../src/index.js';
-import { createRankMember } from '../src/member.js';
+import { createRankMember } from '../src/rank-member.js';
 
 const report: RankReport = {
   group: 'g',
--- a/packages/rank-groups/test/rank-methods.test.ts
+++ b/packages/rank-groups/test/rank-methods.test.ts
@@ -5,8 +5,8 @@
   createPlacementCache,
   encodeMapDelta,
   encodeFullMap,
-} from '../src/links/placement-deltas.js';
-import type { RankMember } from '../src/member.js';
+} from '../src/links/placement-cache.js';
+import type { RankMember } from '../src/rank-member.js';
 import { createRankMethods } from '../src/tree/rank-methods.js';
 import type { OrderOutcome, RankOrder, RankReport } from '../src/index.js';
 
