--- a/packages/agent/src/core/attempts/attempt-manager.ts
+++ b/packages/agent/src/core/attempts/attempt-manager.ts
@@ -5,7 +5,7 @@
 
 import type { Clock, Metrics } from '@plantaindrum/common';
 import type { AgentReason, AttemptId, Dispatch, Link, Load } from '@plantaindrum/link';
-import type { AgentQueue, AttemptLedger, Rejected } from '@plantaindrum/requests';
+import type { AgentQueue, AttemptStateRegistry, Rejected } from '@plantaindrum/requests';
 import type { AttemptOutcome } from './answer.js';
 import type { Attempt } from './attempt.js';
 import { createAttempt } from './attempt.js';
@@ -32,7 +32,7 @@
 /** Options of `createAttemptManager`. */
 export interface AttemptManagerOptions {
   queue: AgentQueue<QueuedAttempt>;
-  registry: AttemptLedger;
+  registry: AttemptStateRegistry;
   run: AttemptRunner;
   load: () => Load;
   /** Whether new requests of this entry are currently refused. */
@@ -130,7 +130,7 @@
     });
     const outcome = await options.run(attempt, dispatch, () => registry.start(id));
     closeInRegistry(id, outcome);
-    queue.finished(id);
+    queue.recordEnd(id);
     endAttempt(attempt, outcome);
     startQueued();
     notifyIfIdle();
@@ -285,7 +285,7 @@
     query: handleQuery,
     credit: handleCredit,
     linkLost: handleLinkLost,
-    drain: () => queue.leave().forEach(endRejected),
+    drain: () => queue.shutDown().forEach(endRejected),
     waitUntilIdle: () =>
       new Promise((resolve) => {
         idleWaiters.push(resolve);
--- a/packages/agent/src/core/attempts/serving.ts
+++ b/packages/agent/src/core/attempts/serving.ts
@@ -4,7 +4,7 @@
 import type { Dispatch, Link, Load } from '@plantaindrum/link';
 import type { Log } from '@plantaindrum/service-clients';
 import type { AgentQueue, Claims } from '@plantaindrum/requests';
-import { createAgentQueue, createAttemptLedger, createClaims } from '@plantaindrum/requests';
+import { createAgentQueue, createAttemptStateRegistry, createClaims } from '@plantaindrum/requests';
 import { encodeEngineBody } from '../upstream/engine-body.js';
 import type { Upstream } from '../upstream/upstream.js';
 import { createUpstream } from '../upstream/upstream.js';
@@ -67,7 +67,7 @@
     encodeBody,
     refusalStatuses,
     metrics,
-    onFirstByte: queue.answering,
+    onFirstByte: queue.recordFirstByte,
   };
   const runKeyed = createKeyedRunner({
     claims,
@@ -95,7 +95,7 @@
   };
   const attemptManager = createAttemptManager({
     queue,
-    registry: createAttemptLedger(),
+    registry: createAttemptStateRegistry(),
     run: createRunner(options, upstream, queue, claims),
     load,
     refusesEntry,
--- a/packages/agent/src/core/group/group.ts
+++ b/packages/agent/src/core/group/group.ts
@@ -1,7 +1,7 @@
 /** Takes part in the agent's expert group, as a member and as a standby coordinator. */
 
 import type { AgentSettings, Clock, Logger, Metrics, Random } from '@plantaindrum/common';
-import type { ExpertMethod, GroupTimings, Weighs } from '@plantaindrum/experts';
+import type { ExpertMethod, GroupTimings, RebalancingPriority } from '@plantaindrum/experts';
 import { createCoordinator, createGroupMember, EXPERT_METHODS } from '@plantaindrum/experts';
 import type { CallHandler, Link, LinkClient } from '@plantaindrum/link';
 import type { Log, VmListClient } from '@plantaindrum/service-clients';
@@ -19,7 +19,7 @@
   /** Connects to another agent and reconnects when the link is lost. */
   connect: (address: { host: string; port: number }) => LinkClient;
   /** The balancing criterion that operators declared for a group or model; undefined if none. */
-  weighs: (name: string) => Weighs | undefined;
+  weighs: (name: string) => RebalancingPriority | undefined;
   /** Whether experts may be moved; false while live traffic needs the VM. */
   mayMove: () => boolean;
   timings?: Partial<GroupTimings>;
--- a/packages/experts/src/coordinator/change.ts
+++ b/packages/experts/src/coordinator/change.ts
@@ -65,7 +65,7 @@
         await sleep(clock, timings.heartbeatMs);
         continue;
       }
-      const answer = await calls.ask(node, 'experts.prepare', args, timings.prepareCallMs);
+      const answer = await calls.call(node, 'experts.prepare', args, timings.prepareCallMs);
       if (isOvertaken([answer])) return 'overtaken';
       if (isRefused(answer)) return 'not-prepared';
       if (answer) return 'prepared';
@@ -85,7 +85,7 @@
 ): Promise<number | undefined> => {
   const { clock } = options;
   const start = clock.monotonic();
-  const replies = await calls.askAll<HeartbeatAnswer>(nodes, 'experts.heartbeat', { fence });
+  const replies = await calls.callAll<HeartbeatAnswer>(nodes, 'experts.heartbeat', { fence });
   const roundTripMs = clock.monotonic() - start;
   const ranks = [...replies.values()].flatMap((reply) =>
     reply && !isRefused(reply) ? reply.ranks : [],
@@ -107,14 +107,14 @@
   args: ArmArgs,
 ): Promise<Decision | undefined> => {
   const { rankCount } = options.layout;
-  const armed = await calls.askAll<Vote>(nodes, 'experts.arm', args);
+  const armed = await calls.callAll<Vote>(nodes, 'experts.arm', args);
   let votes = [...armed.values()].map(asVote);
   for (let round = 0; round < VOTE_ROUNDS; round += 1) {
     const decision = decisionOf(votes, rankCount);
     if (decision) return decision;
     await sleep(options.clock, timings.askAfterMs);
     const { version } = args;
-    const queried = await calls.askAll<Vote>(nodes, 'experts.outcome', { version });
+    const queried = await calls.callAll<Vote>(nodes, 'experts.outcome', { version });
     votes = [...queried.values()].map(asVote);
   }
   return decisionOf(votes, rankCount);
@@ -134,7 +134,7 @@
   const { fence, map, nodes } = change;
   const { version } = map;
   const abort = async <T extends ChangeOutcome>(outcome: T): Promise<T> => {
-    await calls.askAll(nodes, 'experts.decide', { version, decision: 'abort' });
+    await calls.callAll(nodes, 'experts.decide', { version, decision: 'abort' });
     return outcome;
   };
 
@@ -146,6 +146,6 @@
 
   const decision = await armAll(options, calls, timings, change, { fence, version, atStep });
   if (!decision) return 'unsettled';
-  await calls.askAll(nodes, 'experts.decide', { version, decision });
+  await calls.callAll(nodes, 'experts.decide', { version, decision });
   return decision === 'switch' ? 'switched' : 'aborted';
 };
--- a/packages/experts/src/coordinator/coordinator.ts
+++ b/packages/experts/src/coordinator/coordinator.ts
@@ -68,7 +68,7 @@
       while (isRunning && !closed) {
         await sleep(clock, heartbeatMs());
         const nodes = options.members().map(({ node }) => node);
-        if (isRunning) await calls.askAll(nodes, 'experts.heartbeat', { fence: heldFence });
+        if (isRunning) await calls.callAll(nodes, 'experts.heartbeat', { fence: heldFence });
       }
     };
     void sendHeartbeats();
@@ -80,7 +80,7 @@
   const fetchMap = async (version: number): Promise<ExpertMapDocument | undefined> => {
     if (currentMap?.version === version) return currentMap;
     for (const { node } of options.members()) {
-      const map = await calls.ask<ExpertMapDocument | null>(node, 'experts.map', { version });
+      const map = await calls.call<ExpertMapDocument | null>(node, 'experts.map', { version });
       if (map && 'layers' in map) return map;
     }
     return undefined;
--- a/packages/experts/src/coordinator/election.ts
+++ b/packages/experts/src/coordinator/election.ts
@@ -32,7 +32,7 @@
   // again and again without being able to coordinate, so it queries the others first.
   const hasNoCoordinator = async (): Promise<boolean> => {
     const peers = options.members();
-    const answers = await calls.askAll<FenceAnswer>(
+    const answers = await calls.callAll<FenceAnswer>(
       peers.map((peer) => peer.node),
       'experts.fence',
       {},
--- a/packages/experts/src/coordinator/forming.ts
+++ b/packages/experts/src/coordinator/forming.ts
@@ -26,7 +26,7 @@
   const formed = [...replies].filter(([, reply]) => !isBlank(reply)).map(([node]) => node);
   const blank = [...replies].filter(([, reply]) => isBlank(reply)).map(([node]) => node);
   for (const nodes of [formed, blank]) {
-    const answers = await calls.askAll(nodes, 'experts.form', args, timings.prepareCallMs);
+    const answers = await calls.callAll(nodes, 'experts.form', args, timings.prepareCallMs);
     if (isOvertaken(answers.values())) return 'overtaken';
     if ([...answers.values()].some((answer) => !answer || isRefused(answer))) return 'incomplete';
   }
--- a/packages/experts/src/coordinator/group-calls.ts
+++ b/packages/experts/src/coordinator/group-calls.ts
@@ -7,13 +7,13 @@
 
 /** Calls from a coordinator to the group's agents, including its own. */
 export interface GroupCalls {
-  ask<T>(
+  call<T>(
     node: string,
     method: ExpertMethod,
     args: unknown,
     timeoutMs?: number,
   ): Promise<CallResult<T>>;
-  askAll<T>(
+  callAll<T>(
     nodes: readonly string[],
     method: ExpertMethod,
     args: unknown,
@@ -49,7 +49,7 @@
 export const createGroupCalls = (options: CoordinatorOptions): GroupCalls => {
   const timings = { ...defaultTimings, ...options.timings };
 
-  const ask: GroupCalls['ask'] = async <T>(
+  const call: GroupCalls['call'] = async <T>(
     node: string,
     method: ExpertMethod,
     args: unknown,
@@ -65,17 +65,17 @@
   };
 
   return {
-    ask,
-    askAll: async <T>(
+    call,
+    callAll: async <T>(
       nodes: readonly string[],
       method: ExpertMethod,
       args: unknown,
       timeoutMs?: number,
     ) => {
-      const asked = nodes.map(
-        async (node) => [node, await ask<T>(node, method, args, timeoutMs)] as const,
+      const results = nodes.map(
+        async (node) => [node, await call<T>(node, method, args, timeoutMs)] as const,
       );
-      return new Map(await Promise.all(asked));
+      return new Map(await Promise.all(results));
     },
   };
 };
--- a/packages/experts/src/coordinator/group-view.ts
+++ b/packages/experts/src/coordinator/group-view.ts
@@ -20,7 +20,7 @@
 ): Promise<GroupView> => {
   const peers = options.members();
   const nodes = peers.map(({ node }) => node);
-  const answers = await calls.askAll<HeartbeatAnswer>(nodes, 'experts.heartbeat', { fence });
+  const answers = await calls.callAll<HeartbeatAnswer>(nodes, 'experts.heartbeat', { fence });
   if (isOvertaken(answers.values())) return { view: 'overtaken' };
   const replies = new Map(
     [...answers].flatMap(([node, answer]): [string, HeartbeatAnswer][] =>
--- a/packages/experts/src/coordinator/rebalancer.ts
+++ b/packages/experts/src/coordinator/rebalancer.ts
@@ -50,7 +50,7 @@
   };
 
   const collectReports = async (nodes: readonly string[], fence: number): Promise<boolean> => {
-    const answers = await calls.askAll<ReportAnswer>(nodes, 'experts.report', { fence });
+    const answers = await calls.callAll<ReportAnswer>(nodes, 'experts.report', { fence });
     const now = clock.monotonic();
     for (const [node, answer] of answers) {
       if (answer && !isRefused(answer)) tracker.record(node, answer, now);
@@ -60,7 +60,7 @@
   };
 
   const plan = async (current: ExpertMapDocument, popularity: number[][]): Promise<MapPlan> => {
-    const limits = limitsFor(options.weighs(), tracker.lifeMs(), layout.rankCount);
+    const limits = limitsFor(options.weighs(), tracker.validityMs(), layout.rankCount);
     const startedAt = clock.monotonic();
     const newPlan = await planMap(
       current.layers,
--- a/packages/experts/src/coordinator/registration.ts
+++ b/packages/experts/src/coordinator/registration.ts
@@ -31,14 +31,14 @@
   const peers = options.members();
   const { rankCount } = options.layout;
   const nodes = peers.map(({ node }) => node);
-  const first = await calls.askAll<Registered>(nodes, 'experts.register', { fence });
+  const first = await calls.callAll<Registered>(nodes, 'experts.register', { fence });
   if (isOvertaken(first.values())) return { outcome: 'overtaken' };
   const instances = instancesOf(first);
   if (!coversGroup(peers, instances.keys(), rankCount)) return { outcome: 'incomplete' };
 
   const second = await Promise.all(
     [...instances].map(([node, expectInstance]) =>
-      calls.ask<Registered>(node, 'experts.register', { fence, expectInstance }),
+      calls.call<Registered>(node, 'experts.register', { fence, expectInstance }),
     ),
   );
   if (isOvertaken(second)) return { outcome: 'overtaken' };
--- a/packages/experts/src/plan/load-tracker.ts
+++ b/packages/experts/src/plan/load-tracker.ts
@@ -33,7 +33,7 @@
   /** Fraction of each layer's tokens by expert; undefined before the second round. */
   popularity(): number[][] | undefined;
   /** Time for which the popularity is expected to stay valid, in milliseconds. */
-  lifeMs(): number;
+  validityMs(): number;
   /** To be called when a new map is in use: earlier reports no longer replace missing ones. */
   restart(): void;
 }
@@ -163,7 +163,7 @@
       return true;
     },
     popularity: () => smoothed,
-    lifeMs: () => {
+    validityMs: () => {
       const validityMs = driftPerMs > 0 ? MAX_DRIFT / driftPerMs : MAX_VALIDITY_MS;
       return Math.min(MAX_VALIDITY_MS, Math.max(MIN_VALIDITY_MS, validityMs));
     },
--- a/packages/experts/src/plan/plan-map.ts
+++ b/packages/experts/src/plan/plan-map.ts
@@ -11,9 +11,9 @@
   /** Largest number of experts that one change loads. */
   maxMoves: number;
   /** Imbalance at which planning stops; 1 is even. */
-  evenEnough: number;
+  targetImbalance: number;
   /** Fraction of the step time that each loaded expert must save. */
-  gainPerMove: number;
+  minGainPerMove: number;
 }
 
 /** Result of planning: a map with a shorter predicted step time, or the current one. */
@@ -58,7 +58,7 @@
   const evenStepTime = evenTime(load);
   const before = slowestTime(state) / evenStepTime;
   const netGain = (prefix: PlanPrefix): number =>
-    (before - prefix.imbalance) / before - prefix.loads * limits.gainPerMove;
+    (before - prefix.imbalance) / before - prefix.loads * limits.minGainPerMove;
   const edits: Edit[] = [];
   let best: PlanPrefix = { edits: 0, loads: 0, imbalance: before };
 
@@ -82,7 +82,7 @@
   };
 
   let loads = 0;
-  while (loads < limits.maxMoves && slowestTime(state) / evenStepTime > limits.evenEnough) {
+  while (loads < limits.maxMoves && slowestTime(state) / evenStepTime > limits.targetImbalance) {
     const addedLoads = relieveSlowest();
     if (addedLoads === undefined) break;
     loads += addedLoads;
--- a/packages/experts/src/plan/policy.ts
+++ b/packages/experts/src/plan/policy.ts
@@ -1,4 +1,4 @@
-import type { GroupLayout, Weighs } from '../types.js';
+import type { GroupLayout, RebalancingPriority } from '../types.js';
 import { createLoadTracker } from './load-tracker.js';
 import type { LoadTracker } from './load-tracker.js';
 import type { MapPlan, PlanLimits } from './plan-map.js';
@@ -16,7 +16,7 @@
   targetImbalance: number;
 }
 
-const LIMITS_BY_PRIORITY: Record<Weighs, PriorityLimits> = {
+const LIMITS_BY_PRIORITY: Record<RebalancingPriority, PriorityLimits> = {
   skew: {
     secondsSavedPerMove: 0.05,
     minGain: 0.01,
@@ -35,17 +35,21 @@
 const MOVES_PER_RANK = 4;
 
 /** Limits of a plan for the operator's setting and the expected validity of the popularity. */
-export const limitsFor = (weighs: Weighs, validityMs: number, rankCount: number): PlanLimits => {
+export const limitsFor = (
+  weighs: RebalancingPriority,
+  validityMs: number,
+  rankCount: number,
+): PlanLimits => {
   const priorityLimits = LIMITS_BY_PRIORITY[weighs];
   return {
     maxMoves: MOVES_PER_RANK * rankCount,
-    evenEnough: priorityLimits.targetImbalance,
-    gainPerMove: priorityLimits.secondsSavedPerMove / (validityMs / 1000),
+    targetImbalance: priorityLimits.targetImbalance,
+    minGainPerMove: priorityLimits.secondsSavedPerMove / (validityMs / 1000),
   };
 };
 
 /** Whether a plan is worth a change; smaller gains may be noise. */
-export const isWorthwhile = (weighs: Weighs, plan: MapPlan): boolean => {
+export const isWorthwhile = (weighs: RebalancingPriority, plan: MapPlan): boolean => {
   const { toleratedImbalance, minGain } = LIMITS_BY_PRIORITY[weighs];
   const gain = (plan.before - plan.after) / plan.before;
   return plan.moves.length > 0 && plan.before > toleratedImbalance && gain >= minGain;
--- a/packages/experts/src/types.ts
+++ b/packages/experts/src/types.ts
@@ -152,7 +152,7 @@
 };
 
 /** What weighs more for the operator: an even load (`skew`) or few moves (`rebalancing-cost`). */
-export type Weighs = 'skew' | 'rebalancing-cost';
+export type RebalancingPriority = 'skew' | 'rebalancing-cost';
 
 /** Options that a group member and a coordinator have in common. */
 export interface GroupContext {
@@ -210,7 +210,7 @@
   member: GroupMember;
   layout: GroupLayout;
   /** What the operator set to weigh more; read for each plan. */
-  weighs: () => Weighs;
+  weighs: () => RebalancingPriority;
   /** False while live traffic needs the VM, which delays moves of experts. */
   mayMove: () => boolean;
 }
--- a/packages/experts/test/fakes/fake-group.ts
+++ b/packages/experts/test/fakes/fake-group.ts
@@ -8,7 +8,7 @@
   ExpertMethod,
   GroupMember,
   GroupTimings,
-  Weighs,
+  RebalancingPriority,
 } from '../../src/index.js';
 import { createFakeEngines } from './fake-engines.js';
 import type { FakeEnginesOptions } from './fake-engines.js';
@@ -34,7 +34,7 @@
   checksFence?: boolean;
   seed?: number;
   onOrder?: FakeEnginesOptions['onOrder'];
-  weighs?: Weighs;
+  weighs?: RebalancingPriority;
   mayMove?: () => boolean;
 }
 
--- a/packages/experts/test/plan.test.ts
+++ b/packages/experts/test/plan.test.ts
@@ -176,7 +176,7 @@
       const isComplete = tracker.endRound(['a'], minute * 60_000);
       const popularity = tracker.popularity();
       if (!isComplete || !popularity) continue;
-      const limits = limitsFor('skew', tracker.lifeMs(), layout.rankCount);
+      const limits = limitsFor('skew', tracker.validityMs(), layout.rankCount);
       const load = { popularity, speeds: normalSpeeds, fixedShare: 0.4 };
       const plan = await planMap(layers, layout, load, limits, noPause);
       if (!isWorthwhile('skew', plan)) continue;
--- a/packages/lab/src/experiments/balance-agreement.ts
+++ b/packages/lab/src/experiments/balance-agreement.ts
@@ -122,7 +122,7 @@
   const calls = createGroupCalls(options);
   for (const node of names) {
     while (members.get(node)?.status().fence === undefined) await sleep(systemClock, 5);
-    await calls.ask(node, 'experts.register', { fence: 0 });
+    await calls.call(node, 'experts.register', { fence: 0 });
   }
   const close = async (): Promise<void> => {
     members.forEach((member) => member.close());
@@ -158,21 +158,21 @@
 const runCommitRecord = async (setting: Setting, version: number): Promise<boolean> => {
   const { calls, names, layout, faults } = setting;
   const map = { version, layers: evenLayers(layout) };
-  await calls.askAll(names, 'experts.prepare', { fence: 0, version, map });
-  const beats = await calls.askAll<{ ranks: { step: number }[] }>(names, 'experts.heartbeat', {
+  await calls.callAll(names, 'experts.prepare', { fence: 0, version, map });
+  const beats = await calls.callAll<{ ranks: { step: number }[] }>(names, 'experts.heartbeat', {
     fence: 0,
   });
   const steps = [...beats.values()].flatMap((beat) =>
     beat && 'ranks' in beat ? beat.ranks.map(({ step }) => step) : [],
   );
   const atStep = Math.max(...steps) + 8;
-  await calls.askAll(names, 'experts.arm', { fence: 0, version, atStep });
+  await calls.callAll(names, 'experts.arm', { fence: 0, version, atStep });
   // A coordinator that dies leaves the decision to the first rank that holds; it records "abort".
   if (faults.losesDecisions) await sleep(systemClock, HOLD_NOTICED_MS);
   const wanted = faults.losesDecisions ? 'abort' : 'switch';
   const decision = await recordDecision(setting, version, wanted);
   Object.assign(faults, { losesDecisions: false });
-  await calls.askAll(names, 'experts.decide', { version, decision });
+  await calls.callAll(names, 'experts.decide', { version, decision });
   return decision === 'switch';
 };
 
--- a/packages/lab/src/experiments/balance-policies.ts
+++ b/packages/lab/src/experiments/balance-policies.ts
@@ -6,7 +6,12 @@
   limitsFor,
   planMap,
 } from '@plantaindrum/experts';
-import type { ExpertPlacement, GroupLayout, ReportAnswer, Weighs } from '@plantaindrum/experts';
+import type {
+  ExpertPlacement,
+  GroupLayout,
+  ReportAnswer,
+  RebalancingPriority,
+} from '@plantaindrum/experts';
 
 /** What the policies see at the end of an interval; lost reports are undefined. */
 export interface IntervalReports {
@@ -110,7 +115,11 @@
   };
 };
 
-const createOurs = (layout: GroupLayout, planMs: number, weighs: Weighs): BalancePolicy => {
+const createOurs = (
+  layout: GroupLayout,
+  planMs: number,
+  weighs: RebalancingPriority,
+): BalancePolicy => {
   const tracker = createTrackerFor(layout, planMs);
   const speeds = createRankSpeeds(layout.rankCount);
   return {
@@ -126,7 +135,7 @@
       speeds.record(work, reports.timesUs);
       if (!isComplete) return undefined;
       const view = { popularity, speeds: speeds.speeds(), fixedShare: speeds.fixedShare() };
-      const limits = limitsFor(weighs, tracker.lifeMs(), layout.rankCount);
+      const limits = limitsFor(weighs, tracker.validityMs(), layout.rankCount);
       const plan = await planMap(current, layout, view, limits, noPause);
       return isWorthwhile(weighs, plan) ? plan.layers : undefined;
     },
@@ -141,7 +150,7 @@
   return {
     plan: async (current, reports) => {
       const view = { popularity: lastInterval(reports), speeds, fixedShare: 0 };
-      const limits = { maxMoves: 4 * layout.rankCount, evenEnough: 1, gainPerMove: 0 };
+      const limits = { maxMoves: 4 * layout.rankCount, targetImbalance: 1, minGainPerMove: 0 };
       const plan = await planMap(current, layout, view, limits, noPause);
       return plan.moves.length > 0 ? plan.layers : undefined;
     },
--- a/packages/lab/src/experiments/overload-queues.ts
+++ b/packages/lab/src/experiments/overload-queues.ts
@@ -53,8 +53,8 @@
       return item;
     },
     cancel: () => undefined,
-    answering: () => {},
-    finished: (id) => {
+    recordFirstByte: () => {},
+    recordEnd: (id) => {
       running.delete(id);
     },
     sweep: () => {
@@ -63,7 +63,7 @@
       expired.forEach((item) => waiting.splice(waiting.indexOf(item), 1));
       return expired.map((item) => rejection(item, 'deadline-passed'));
     },
-    leave: () => [],
+    shutDown: () => [],
     load: () => ({
       queued: waiting.length,
       running: running.size,
@@ -86,7 +86,7 @@
 /** The agent's queue as it would be if it never learnt its drain rate: it admits until full. */
 const withoutRefusals = (context: QueueContext): ModelQueue => ({
   ...createAgentQueue<ModelRequest>(context),
-  finished: () => {},
+  recordEnd: () => {},
 });
 
 /** Baselines first, then the agent's queue and its variants. */
--- a/packages/lab/src/experiments/routing-policies.ts
+++ b/packages/lab/src/experiments/routing-policies.ts
@@ -1,13 +1,13 @@
 import type { Random } from '@plantaindrum/common';
-import type { Router, RouteTicket } from '@plantaindrum/requests';
+import type { Router, DispatchedRequest } from '@plantaindrum/requests';
 
 /** The part of a router that the model drives. */
 export type RoutingPolicy = Pick<
   Router,
-  'choose' | 'dispatched' | 'load' | 'laggedLoad' | 'review'
+  'choose' | 'recordDispatch' | 'recordLoad' | 'recordLaggedLoad' | 'updateHealth'
 >;
 
-const IDLE_TICKET: RouteTicket = {
+const IDLE_TICKET: DispatchedRequest = {
   started: () => {},
   firstByte: () => {},
   failed: () => {},
@@ -28,10 +28,10 @@
       ? { upstream: choice(candidates), method: 'two-choices' }
       : { upstream: undefined, reason: 'all-excluded' };
   },
-  dispatched: () => IDLE_TICKET,
-  load: () => {},
-  laggedLoad: () => {},
-  review: () => [],
+  recordDispatch: () => IDLE_TICKET,
+  recordLoad: () => {},
+  recordLaggedLoad: () => {},
+  updateHealth: () => [],
   ...hooks,
 });
 
@@ -61,6 +61,6 @@
     return ties[Math.floor(random() * ties.length)]!;
   };
   return createSimplePolicy(upstreams, least, {
-    laggedLoad: (upstream, { queued, running }) => reported.set(upstream, queued + running),
+    recordLaggedLoad: (upstream, { queued, running }) => reported.set(upstream, queued + running),
   });
 };
--- a/packages/lab/src/experiments/routing-run.ts
+++ b/packages/lab/src/experiments/routing-run.ts
@@ -1,7 +1,13 @@
 import { createSeededRandom } from '@plantaindrum/common';
 import type { Clock, Random } from '@plantaindrum/common';
 import { createAgentQueue, createRetryPolicy } from '@plantaindrum/requests';
-import type { EntryNode, Rejected, Route, RouteTicket, Upstream } from '@plantaindrum/requests';
+import type {
+  EntryNode,
+  Rejected,
+  Route,
+  DispatchedRequest,
+  Upstream,
+} from '@plantaindrum/requests';
 import { createVirtualClock, every } from './routing-clock.js';
 import type { RoutingPolicy } from './routing-policies.js';
 import { createFigures } from './routing-figures.js';
@@ -39,7 +45,7 @@
   attempts: number;
   tried: Set<string>;
   upstream: string;
-  ticket: RouteTicket;
+  ticket: DispatchedRequest;
 }
 
 const CONCURRENCY = 8;
@@ -100,7 +106,7 @@
     const sent = Object.assign(request, {
       upstream,
       attempts: request.attempts + 1,
-      ticket: policies[request.entry]!.dispatched(upstream),
+      ticket: policies[request.entry]!.recordDispatch(upstream),
     });
     sent.tried.add(upstream);
     figures.dispatched();
@@ -130,7 +136,7 @@
 
   const reportLoad = (upstream: string, entry: number) => {
     const load = models.get(upstream)!.load();
-    clock.after(latency(entry, upstream), () => policies[entry]!.load(upstream, load));
+    clock.after(latency(entry, upstream), () => policies[entry]!.recordLoad(upstream, load));
   };
 
   const addUpstream = (upstream: string) => {
@@ -168,12 +174,14 @@
   upstreams.forEach(({ id }) => addUpstream(id));
   every(clock, HEARTBEAT_MS, () => {
     upstreams.forEach(({ id }) => entries.forEach((_, entry) => reportLoad(id, entry)));
-    policies.forEach((policy) => policy.review().forEach(figures.healthChange));
+    policies.forEach((policy) => policy.updateHealth().forEach(figures.healthChange));
   });
   every(clock, REPORT_EVERY_MS, () => {
     const reports = upstreams.map(({ id }) => ({ id, load: models.get(id)!.load() }));
     clock.after(REPORT_LAG_MS, () =>
-      reports.forEach(({ id, load }) => policies.forEach((policy) => policy.laggedLoad(id, load))),
+      reports.forEach(({ id, load }) =>
+        policies.forEach((policy) => policy.recordLaggedLoad(id, load)),
+      ),
     );
   });
   if (scenario.slowFactor !== undefined) {
@@ -188,7 +196,7 @@
   const arrive = () => {
     const entry = Math.floor(random() * entries.length);
     const base = source.next(clock.monotonic());
-    const ticket: RouteTicket = {
+    const ticket: DispatchedRequest = {
       started: () => {},
       firstByte: () => {},
       failed: () => {},
@@ -196,7 +204,7 @@
     };
     const request = { ...base, entry, attempts: 0, tried: new Set<string>(), upstream: '', ticket };
     figures.arrived(request);
-    retries[entry]!.requested();
+    retries[entry]!.recordRequest();
     dispatch(request, choose(request));
     clock.after(source.gapMs(perSecond), arrive);
   };
--- a/packages/lab/src/experiments/routing-upstream.ts
+++ b/packages/lab/src/experiments/routing-upstream.ts
@@ -71,12 +71,12 @@
     const stepMs = (STEP_MS + STEP_MS_PER_RUNNING * running) * slowness;
     events.started(request);
     clock.after(prefillMs + stepMs, () => {
-      queue.answering(request.id);
+      queue.recordFirstByte(request.id);
       events.firstToken(request, hit);
     });
     clock.after(prefillMs + stepMs * request.outputTokens, () => {
       running -= 1;
-      queue.finished(request.id);
+      queue.recordEnd(request.id);
       events.ended(request);
       pump();
     });
--- a/packages/lab/src/experiments/routing.ts
+++ b/packages/lab/src/experiments/routing.ts
@@ -33,9 +33,9 @@
   ours: ours(),
   'ours, no affinity': ours({ affinityBound: 0 }),
   'ours, bound 2': ours({ affinityBound: 2 }),
-  'ours, no fresh load': ours({}, { load: () => {} }),
-  'ours, no ejection': ours({}, { review: () => [] }),
-  'neither fresh load nor ejection': ours({}, { load: () => {}, review: () => [] }),
+  'ours, no fresh load': ours({}, { recordLoad: () => {} }),
+  'ours, no ejection': ours({}, { updateHealth: () => [] }),
+  'neither fresh load nor ejection': ours({}, { recordLoad: () => {}, updateHealth: () => [] }),
 };
 
 const smallSite = [
--- a/packages/lab/src/experiments/slopes/planning.ts
+++ b/packages/lab/src/experiments/slopes/planning.ts
@@ -42,7 +42,7 @@
     speeds: new Array<number>(rankCount).fill(1),
     fixedShare: 0.3,
   };
-  const limits = { maxMoves: 4 * rankCount, evenEnough: 1.02, gainPerMove: 0 };
+  const limits = { maxMoves: 4 * rankCount, targetImbalance: 1.02, minGainPerMove: 0 };
   const before = cpuMicros();
   const plan = await planMap(layers, layout, load, limits, async () => {});
   const map = { version: 1, layers: plan.layers };
--- a/packages/lab/src/experiments/slopes/queue.ts
+++ b/packages/lab/src/experiments/slopes/queue.ts
@@ -43,7 +43,7 @@
   const micros = microsPerCall(REQUESTS_TIMED, (index) => {
     queue.offer(itemOf(depth + index, organisations, random));
     const item = queue.take();
-    if (item) queue.finished(item.id);
+    if (item) queue.recordEnd(item.id);
     queue.load();
   });
   return { micros, memoryBytes };
--- a/packages/lab/src/experiments/slopes/routing.ts
+++ b/packages/lab/src/experiments/slopes/routing.ts
@@ -42,7 +42,7 @@
   const subsetMs = (cpuMicros() - before) / MICROS_PER_MS;
   const chooseMicros = microsPerCall(CHOICES_TIMED, (index) => {
     const route = router.choose({ target: `model-${index % MODELS}`, prefix: `p${index % 64}` });
-    if (route.upstream !== undefined) router.dispatched(route.upstream).ended();
+    if (route.upstream !== undefined) router.recordDispatch(route.upstream).ended();
   });
   const linkCount = links.reduce((sum, count) => sum + count, 0);
   return { subsetMs, chooseMicros, linkCount };
--- a/packages/plantaindrum/src/core/attempts/run-attempt.ts
+++ b/packages/plantaindrum/src/core/attempts/run-attempt.ts
@@ -4,7 +4,7 @@
 import { isRefusalReason } from '@plantaindrum/common';
 import type { AttemptId, Chunk } from '@plantaindrum/link';
 import { INITIAL_CREDIT_BYTES } from '@plantaindrum/link';
-import type { AttemptEvent as RecordedEvent, RouteTicket } from '@plantaindrum/requests';
+import type { AttemptEvent as RecordedEvent, DispatchedRequest } from '@plantaindrum/requests';
 import { createSentAttempt } from '@plantaindrum/requests';
 import { createAsyncQueue } from './async-queue.js';
 import type {
@@ -46,7 +46,7 @@
   /** Whether the request may run again at another upstream; a silent agent is then not awaited. */
   mayRunElsewhere: boolean;
   /** Reports the response times of the upstream to routing. */
-  ticket: Pick<RouteTicket, 'started' | 'firstByte'>;
+  ticket: Pick<DispatchedRequest, 'started' | 'firstByte'>;
   timeouts: AttemptTimeouts;
   clock: Clock;
   metrics: Metrics;
--- a/packages/plantaindrum/src/core/requests/serve-request.ts
+++ b/packages/plantaindrum/src/core/requests/serve-request.ts
@@ -127,7 +127,7 @@
   const selectAfterLostDispatch = (): SelectedUpstream | undefined =>
     lastRefusal?.reason === 'never-arrived' ? selectUpstream(request, new Set()) : undefined;
 
-  retries.requested();
+  retries.recordRequest();
   for (;;) {
     const selected = selectUpstream(request, tried) ?? selectAfterLostDispatch();
     if (!selected) return refuse(lastRefusal ?? { reason: 'no-upstream' });
--- a/packages/plantaindrum/src/core/routing/entry-router.ts
+++ b/packages/plantaindrum/src/core/routing/entry-router.ts
@@ -4,7 +4,7 @@
 import type { IntentDocument } from '@plantaindrum/intent';
 import { createReturnRamp, mayDispatch } from '@plantaindrum/intent';
 import type { Vm } from '@plantaindrum/service-clients';
-import type { Route, RouteTicket, UpstreamStatus } from '@plantaindrum/requests';
+import type { Route, DispatchedRequest, UpstreamStatus } from '@plantaindrum/requests';
 import { createRouter, prefixHash } from '@plantaindrum/requests';
 import type { EntryRequest } from '../requests/types.js';
 import type { Upstream, UpstreamEventHandlers } from '../upstreams/upstream.js';
@@ -12,7 +12,7 @@
 /** A selected upstream with the ticket that reports the progress of the request to the router. */
 export interface SelectedUpstream {
   upstream: Upstream;
-  ticket: RouteTicket;
+  ticket: DispatchedRequest;
 }
 
 /** Router of one entry. */
@@ -116,7 +116,7 @@
       const upstream = findUpstream(route.upstream);
       if (!upstream) return undefined;
       metrics.count('routes', { method: route.method });
-      return { upstream, ticket: router.dispatched(route.upstream) };
+      return { upstream, ticket: router.recordDispatch(route.upstream) };
     },
     applyVmList: (next) => {
       vms = next;
@@ -140,18 +140,18 @@
         if (linkOwners.get(name) === owner) fn();
       };
       return {
-        load: (load) => ifCurrentOwner(() => router.load(name, load)),
-        leaving: () => ifCurrentOwner(() => router.leaving(name)),
+        load: (load) => ifCurrentOwner(() => router.recordLoad(name, load)),
+        leaving: () => ifCurrentOwner(() => router.markLeaving(name)),
         linked: (linked) =>
           ifCurrentOwner(() => {
-            router.silent(name, !linked);
+            router.setSilent(name, !linked);
             if (linked) unlinked.delete(name);
             else unlinked.add(name);
           }),
       };
     },
     reviewHealth: () =>
-      router.review().forEach(({ upstream, from, to, reason }) => {
+      router.updateHealth().forEach(({ upstream, from, to, reason }) => {
         metrics.count('upstream_health', { to, reason });
         log.info(`upstream ${upstream} changed from ${from} to ${to}: ${reason}`);
       }),
--- a/packages/requests/src/attempts/attempt-state-registry.ts
+++ b/packages/requests/src/attempts/attempt-state-registry.ts
@@ -1,10 +1,10 @@
 import type { AttemptId } from '@plantaindrum/link';
 import type { InstanceAttempts } from './instance-attempts.js';
 import { createInstanceAttempts } from './instance-attempts.js';
-import type { AttemptLedger, QueryDecision } from './types.js';
+import type { AttemptStateRegistry, QueryDecision } from './types.js';
 
 /** Limits of the registry. */
-export interface AttemptLedgerOptions {
+export interface AttemptStateRegistryOptions {
   /** Largest number of ended attempts and tombstones kept for each entry instance. */
   closedPerInstance?: number;
   /** Largest number of entry instances kept; the least recently used idle one is evicted first. */
@@ -21,7 +21,9 @@
 };
 
 /** Creates an empty registry. */
-export const createAttemptLedger = (options: AttemptLedgerOptions = {}): AttemptLedger => {
+export const createAttemptStateRegistry = (
+  options: AttemptStateRegistryOptions = {},
+): AttemptStateRegistry => {
   const closedLimit = options.closedPerInstance ?? DEFAULT_CLOSED_PER_INSTANCE;
   const instanceLimit = options.instances ?? DEFAULT_INSTANCES;
   /** Ordered by last use. */
--- a/packages/requests/src/attempts/types.ts
+++ b/packages/requests/src/attempts/types.ts
@@ -28,7 +28,7 @@
 export type QueryDecision = 'not-run' | 'queued' | 'started' | 'answered' | 'unknown';
 
 /** The agent's registry of attempts. Only it can state that a sent attempt has not run. */
-export interface AttemptLedger {
+export interface AttemptStateRegistry {
   /** Registers a dispatched attempt as queued, if it is new. */
   dispatch(id: AttemptId): DispatchDecision;
   /** Marks a queued attempt as started; false when it was cancelled and must not start. */
--- a/packages/requests/src/queue/agent-queue.ts
+++ b/packages/requests/src/queue/agent-queue.ts
@@ -208,13 +208,13 @@
       if (item) removeWaiting(item);
       return item;
     },
-    answering: (id) => firstByteMeter.recordFirstByte(id),
-    finished: (id) => {
+    recordFirstByte: (id) => firstByteMeter.recordFirstByte(id),
+    recordEnd: (id) => {
       firstByteMeter.forget(id);
       drainMeter.recordEnd(id, waiting.size > 0);
     },
     sweep: () => [...rejectExpired(), ...rejectUnreachable()],
-    leave: () => {
+    shutDown: () => {
       leaving = true;
       const rejected = [...waiting.values()].map(({ item }) => reject(item, 'leaving', 0));
       rejected.forEach(({ item }) => removeWaiting(item));
--- a/packages/requests/src/queue/types.ts
+++ b/packages/requests/src/queue/types.ts
@@ -41,15 +41,15 @@
   /** Removes a waiting item; undefined when it isn't waiting. */
   cancel(id: string): T | undefined;
   /** Records the first byte of a running item, to estimate the time to first byte. */
-  answering(id: string): void;
+  recordFirstByte(id: string): void;
   /** Records the end of a running item, to measure the drain rate. */
-  finished(id: string): void;
+  recordEnd(id: string): void;
   /**
    * Rejects waiting items that can no longer meet their deadline; to be called about every 100 ms.
    */
   sweep(): Rejected<T>[];
   /** Stops admission and rejects everything that waits. */
-  leave(): Rejected<T>[];
+  shutDown(): Rejected<T>[];
   /** Current load. */
   load(): QueueLoad;
 }
--- a/packages/requests/src/retry/retry-policy.ts
+++ b/packages/requests/src/retry/retry-policy.ts
@@ -69,7 +69,7 @@
   };
 
   return {
-    requested: () => {
+    recordRequest: () => {
       refill();
       tokens = Math.min(burst, tokens + budgetShare);
     },
--- a/packages/requests/src/retry/types.ts
+++ b/packages/requests/src/retry/types.ts
@@ -33,7 +33,7 @@
 /** Decides on retries for one entry. */
 export interface RetryPolicy {
   /** Records the first dispatch of a request, which adds to the retry budget. */
-  requested(): void;
+  recordRequest(): void;
   /** Decides whether to retry; a retry is charged to the budget. */
   decide(failed: FailedAttempt): RetryDecision;
 }
--- a/packages/requests/src/routing/first-byte-latency.ts
+++ b/packages/requests/src/routing/first-byte-latency.ts
@@ -1,10 +1,10 @@
 import type { Clock } from '@plantaindrum/common';
-import type { RouteTicket } from './types.js';
+import type { DispatchedRequest } from './types.js';
 
 /** Time to first byte of one upstream, measured from the start of a request at the engine. */
 export interface FirstByteLatency {
   /** Starts tracking one request; `onEnded` is called once. */
-  track(onEnded: () => void): RouteTicket;
+  track(onEnded: () => void): DispatchedRequest;
   /** Moving average of the time to first byte, in milliseconds; undefined with too few samples. */
   smoothedMs(): number | undefined;
   /** How long the oldest started request has waited for its first byte, in milliseconds. */
--- a/packages/requests/src/routing/router.ts
+++ b/packages/requests/src/routing/router.ts
@@ -183,25 +183,25 @@
     },
     subset: (target) => subsetMembers(target).map((member) => member.upstream.id),
     choose,
-    dispatched: (upstream) => {
+    recordDispatch: (upstream) => {
       const member = members.get(upstream);
       if (!member) return createFirstByteLatency(clock).track(() => {});
       member.load.recordDispatch();
       return member.latency.track(() => member.load.recordEnd());
     },
-    load: (upstream, load) => {
+    recordLoad: (upstream, load) => {
       const member = members.get(upstream);
       if (!member) return;
       member.load.recordLoad(load);
       member.agentLeaving = load.leaving;
     },
-    laggedLoad: (upstream, report) => members.get(upstream)?.load.recordLaggedReport(report),
-    silent: (upstream, silent) => members.get(upstream)?.health.setSilent(silent),
-    leaving: (upstream) => {
+    recordLaggedLoad: (upstream, report) => members.get(upstream)?.load.recordLaggedReport(report),
+    setSilent: (upstream, silent) => members.get(upstream)?.health.setSilent(silent),
+    markLeaving: (upstream) => {
       const member = members.get(upstream);
       if (member) member.agentLeaving = true;
     },
-    review: () => {
+    updateHealth: () => {
       const advanced = [...members.values()].map((member) => member.health.advance());
       const targets = new Set([...members.values()].map((member) => member.upstream.target));
       const ejected = [...targets].flatMap((target) =>
--- a/packages/requests/src/routing/types.ts
+++ b/packages/requests/src/routing/types.ts
@@ -38,7 +38,7 @@
 export type UpstreamHealth = 'serving' | 'ejected' | 'returning';
 
 /** A dispatched request, as routing tracks it. Each method has an effect once, in any order. */
-export interface RouteTicket {
+export interface DispatchedRequest {
   /** The agent has sent it to the upstream. */
   started(): void;
   /** The head or the first token of the answer has arrived. */
@@ -67,17 +67,17 @@
   /** Selects an upstream for a request. */
   choose(request: RouteRequest): Route;
   /** Records a request sent to the upstream; the caller reports its progress to the result. */
-  dispatched(upstream: string): RouteTicket;
+  recordDispatch(upstream: string): DispatchedRequest;
   /** Records the load that a frame from the agent carried: the latest known. */
-  load(upstream: string, load: Load): void;
+  recordLoad(upstream: string, load: Load): void;
   /** Records the platform's report, which lags; used only without a fresh load. */
-  laggedLoad(upstream: string, report: { queued: number; running: number }): void;
+  recordLaggedLoad(upstream: string, report: { queued: number; running: number }): void;
   /** Sets whether the link is lost or heartbeats are missing. */
-  silent(upstream: string, silent: boolean): void;
+  setSilent(upstream: string, silent: boolean): void;
   /** The agent accepts no new work, until a load from a new agent instance says otherwise. */
-  leaving(upstream: string): void;
+  markLeaving(upstream: string): void;
   /** Ejects outliers and lets ejected upstreams return; to be called about once a second. */
-  review(): HealthChange[];
+  updateHealth(): HealthChange[];
   /** State of every upstream. */
   status(): UpstreamStatus[];
 }
--- a/packages/requests/test/agent-queue.test.ts
+++ b/packages/requests/test/agent-queue.test.ts
@@ -38,7 +38,7 @@
   for (let n = 0; n < 5; n += 1) queue.offer(itemOf());
   for (let item = queue.take(); item; item = queue.take()) {
     await clock.advance(ms);
-    queue.finished(item.id);
+    queue.recordEnd(item.id);
   }
 };
 
@@ -106,7 +106,7 @@
         await fixture.clock.advance(100);
         if (!item) continue;
         served[item.organisation as 'flood' | 'small'] += 1;
-        fixture.queue.finished(item.id);
+        fixture.queue.recordEnd(item.id);
       }
       fixture.queue.sweep();
     }
@@ -140,8 +140,8 @@
       fixture.queue.offer(itemOf());
       const item = fixture.queue.take()!;
       await fixture.clock.advance(300);
-      fixture.queue.answering(item.id);
-      fixture.queue.finished(item.id);
+      fixture.queue.recordFirstByte(item.id);
+      fixture.queue.recordEnd(item.id);
     }
     const now = fixture.clock.monotonic();
     fixture.queue.offer(itemOf());
@@ -159,8 +159,8 @@
     fixture.queue.offer(itemOf());
     const slow = fixture.queue.take()!;
     await fixture.clock.advance(60_000);
-    fixture.queue.answering(slow.id);
-    fixture.queue.finished(slow.id);
+    fixture.queue.recordFirstByte(slow.id);
+    fixture.queue.recordEnd(slow.id);
     const deadline = fixture.clock.monotonic() + 1_000;
     expect(fixture.queue.offer(itemOf({ deadline })).admitted).to.equal(true);
   });
@@ -174,7 +174,7 @@
     for (let n = 0; n < 2; n += 1) {
       const item = fixture.queue.take()!;
       await fixture.clock.advance(200);
-      fixture.queue.finished(item.id);
+      fixture.queue.recordEnd(item.id);
     }
     const rejected = fixture.queue.sweep();
     expect(new Set(rejected.map(({ reason }) => reason))).to.deep.equal(
@@ -191,7 +191,7 @@
     fixture.queue.offer(itemOf({ organisation: 'small' }));
     for (let item = fixture.queue.take(); item; item = fixture.queue.take()) {
       await fixture.clock.advance(100);
-      fixture.queue.finished(item.id);
+      fixture.queue.recordEnd(item.id);
     }
     const deadline = fixture.clock.monotonic() + 400;
     for (let n = 0; n < 3; n += 1) {
@@ -211,7 +211,7 @@
     for (let n = 0; n < 5; n += 1) {
       const item = fixture.queue.take()!;
       await fixture.clock.advance(100);
-      fixture.queue.finished(item.id);
+      fixture.queue.recordEnd(item.id);
     }
     fixture.queue.take();
     const offer = () =>
@@ -232,7 +232,7 @@
     queue.offer(itemOf({ id: 'gone' }));
     expect(queue.cancel('gone')!.id).to.equal('gone');
     await clock.advance(10);
-    const rejected = [...queue.sweep(), ...queue.leave(), ...queue.leave()];
+    const rejected = [...queue.sweep(), ...queue.shutDown(), ...queue.shutDown()];
     expect(rejected.map(({ item, reason }) => `${item.id} ${reason}`)).to.deep.equal([
       'late deadline-passed',
       'waits leaving',
@@ -264,7 +264,7 @@
         if (kind === 'take') {
           const item = queue.take();
           if (item) leave(item.id);
-          if (item && change.cost % 2) queue.finished(item.id);
+          if (item && change.cost % 2) queue.recordEnd(item.id);
         }
         if (kind === 'cancel') {
           const item = queue.cancel(offered[change.cost % offered.length] ?? '');
@@ -273,7 +273,7 @@
         if (kind === 'sweep') queue.sweep().forEach((rejected) => leave(rejected.item.id));
         if (kind === 'advance') time += change.deadline;
       });
-      queue.leave().forEach((rejected) => leave(rejected.item.id));
+      queue.shutDown().forEach((rejected) => leave(rejected.item.id));
       offered.forEach((id) => expect(seen.get(id), id).to.equal(1));
       expect(queue.load().queued).to.equal(0);
     });
--- a/packages/requests/test/attempts.test.ts
+++ b/packages/requests/test/attempts.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import fc from 'fast-check';
 import type { AttemptId } from '@plantaindrum/link';
-import { createAttemptLedger } from '../src/attempts/attempt-state-registry.js';
+import { createAttemptStateRegistry } from '../src/attempts/attempt-state-registry.js';
 import { createSentAttempt } from '../src/attempts/sent-attempt.js';
 import type { AttemptEvent, SentAttempt } from '../src/attempts/types.js';
 
@@ -24,7 +24,7 @@
   const sent = new Map<AttemptId, SentAttempt>();
   const runs = new Map<AttemptId, number>();
   const connections: Connection[] = [];
-  let registry = createAttemptLedger();
+  let registry = createAttemptStateRegistry();
   let queued: AttemptId[] = [];
   let running: AttemptId[] = [];
   let serial = 0;
@@ -111,7 +111,7 @@
     },
     restart: () => {
       connections.forEach((c) => Object.assign(c, { openAtAgent: false, toEntry: [] }));
-      registry = createAttemptLedger();
+      registry = createAttemptStateRegistry();
       queued = [];
       running = [];
       connect();
@@ -133,20 +133,20 @@
   // flight, the entry queries over a new link, and the agent answers `not-run` before it reads the
   // dispatch from the old link. The tombstone must keep that dispatch from starting.
   it('never starts an attempt that a query has reported as not run', () => {
-    const registry = createAttemptLedger();
+    const registry = createAttemptStateRegistry();
     expect(registry.query('e1:7')).to.equal('not-run');
     expect(registry.dispatch('e1:7')).to.equal('refuse-tombstone');
     expect(registry.start('e1:7')).to.equal(false);
   });
 
   it('does not start an attempt whose cancel arrived first', () => {
-    const registry = createAttemptLedger();
+    const registry = createAttemptStateRegistry();
     expect(registry.cancel('e1:1')).to.equal('not-run');
     expect(registry.dispatch('e1:1')).to.equal('refuse-tombstone');
   });
 
   it('does not report a forgotten attempt as not run', () => {
-    const registry = createAttemptLedger({ closedPerInstance: 1 });
+    const registry = createAttemptStateRegistry({ closedPerInstance: 1 });
     for (const id of ['e1:1', 'e1:2'] as const) {
       registry.dispatch(id);
       registry.start(id);
--- a/packages/requests/test/retry-policy.test.ts
+++ b/packages/requests/test/retry-policy.test.ts
@@ -41,7 +41,7 @@
     const policy = policyWith();
     let retries = 0;
     for (let n = 0; n < 1000; n += 1) {
-      policy.requested();
+      policy.recordRequest();
       if (policy.decide(failedBase).retry) retries += 1;
     }
     expect(retries).to.be.within(100, 110);
--- a/packages/requests/test/router.test.ts
+++ b/packages/requests/test/router.test.ts
@@ -40,7 +40,10 @@
   /** Runs one request at each upstream per round; `msOf` gives its time to first byte. */
   const serve = async (rounds: number, msOf: (id: string) => number) => {
     for (let n = 0; n < rounds; n += 1) {
-      const tickets = upstreams.map(({ id }) => ({ ms: msOf(id), ticket: router.dispatched(id) }));
+      const tickets = upstreams.map(({ id }) => ({
+        ms: msOf(id),
+        ticket: router.recordDispatch(id),
+      }));
       tickets.sort((a, b) => a.ms - b.ms).forEach(({ ticket }) => ticket.started());
       let passed = 0;
       for (const { ms, ticket } of tickets) {
@@ -71,33 +74,33 @@
     const far = upstreamsIn('reno', 4, 'southwest');
     const { router, shares } = routerWith([...upstreamsIn('kent', 2), ...far]);
     expect(Object.keys(shares(200))).to.have.members(['kent-0', 'kent-1']);
-    router.load('kent-0', loadOf({ queued: 20 }));
-    router.load('kent-1', loadOf({ queued: 20 }));
+    router.recordLoad('kent-0', loadOf({ queued: 20 }));
+    router.recordLoad('kent-1', loadOf({ queued: 20 }));
     expect(Object.keys(shares(50)).every((id) => id.startsWith('reno'))).to.equal(true);
-    router.load('kent-0', loadOf());
-    router.leaving('kent-0');
-    router.leaving('kent-1');
+    router.recordLoad('kent-0', loadOf());
+    router.markLeaving('kent-0');
+    router.markLeaving('kent-1');
     expect(Object.keys(shares(50)).every((id) => id.startsWith('reno'))).to.equal(true);
   });
 
   it('sends nothing to a leaving upstream until a new agent instance reports', () => {
     const { router, shares } = routerWith(upstreamsIn('kent', 2));
-    router.leaving('kent-0');
+    router.markLeaving('kent-0');
     expect(shares(50)).to.deep.equal({ 'kent-1': 50 });
-    router.load('kent-0', loadOf());
+    router.recordLoad('kent-0', loadOf());
     expect(Object.keys(shares(50))).to.have.length(2);
     router.setUpstreams(upstreamsIn('kent', 2).map((u) => ({ ...u, leaving: u.id === 'kent-0' })));
-    router.load('kent-0', loadOf());
+    router.recordLoad('kent-0', loadOf());
     expect(shares(50)).to.deep.equal({ 'kent-1': 50 });
   });
 
   it('prefers a fresh load to the lagged report, and falls back to the report', async () => {
     const { clock, router, shares } = routerWith(upstreamsIn('kent', 2));
-    router.laggedLoad('kent-0', { queued: 0, running: 0 });
-    router.laggedLoad('kent-1', { queued: 9, running: 9 });
+    router.recordLaggedLoad('kent-0', { queued: 0, running: 0 });
+    router.recordLaggedLoad('kent-1', { queued: 9, running: 9 });
     expect(shares(50)).to.deep.equal({ 'kent-0': 50 });
-    router.load('kent-0', loadOf({ queued: 30 }));
-    router.load('kent-1', loadOf());
+    router.recordLoad('kent-0', loadOf({ queued: 30 }));
+    router.recordLoad('kent-1', loadOf());
     expect(shares(50)).to.deep.equal({ 'kent-1': 50 });
     await clock.advance(10_000);
     expect(shares(50)).to.deep.equal({ 'kent-0': 50 });
@@ -108,14 +111,14 @@
   it('ejects a slow upstream that still answers heartbeats, and lets it back gradually', async () => {
     const { clock, router, shares, serve } = routerWith(upstreamsIn('kent', 4));
     await serve(6, (id) => (id === 'kent-3' ? 2000 : 200));
-    const states = [router.review(), router.review()];
+    const states = [router.updateHealth(), router.updateHealth()];
     expect(states).to.deep.equal([
       [{ upstream: 'kent-3', from: 'serving', to: 'ejected', reason: 'slow' }],
       [],
     ]);
     expect(shares(400)['kent-3']).to.equal(undefined);
     await clock.advance(5_000);
-    expect(router.review()).to.deep.equal([
+    expect(router.updateHealth()).to.deep.equal([
       { upstream: 'kent-3', from: 'ejected', to: 'returning', reason: 'pause-over' },
     ]);
     const first = shares(1000)['kent-3'] ?? 0;
@@ -124,15 +127,15 @@
     expect(first).to.be.within(1, 60);
     expect(later).to.be.within(90, 200);
     await clock.advance(5_000);
-    expect(router.review()[0]).to.include({ to: 'serving', reason: 'recovered' });
+    expect(router.updateHealth()[0]).to.include({ to: 'serving', reason: 'recovered' });
   });
 
   it('ejects an upstream whose started requests get no first byte at all', async () => {
     const { clock, router, serve } = routerWith(upstreamsIn('kent', 4));
     await serve(6, () => 200);
-    router.dispatched('kent-2').started();
+    router.recordDispatch('kent-2').started();
     await clock.advance(2_500);
-    expect(router.review()).to.deep.equal([
+    expect(router.updateHealth()).to.deep.equal([
       { upstream: 'kent-2', from: 'serving', to: 'ejected', reason: 'silent' },
     ]);
   });
@@ -142,15 +145,15 @@
   it('ejects an upstream that refuses one request after the other', async () => {
     const { router, shares } = routerWith(upstreamsIn('kent', 4));
     const fail = () => {
-      const ticket = router.dispatched('kent-1');
+      const ticket = router.recordDispatch('kent-1');
       ticket.started();
       ticket.failed();
       ticket.ended();
     };
     [1, 2, 3, 4].forEach(fail);
-    expect(router.review()).to.deep.equal([]);
+    expect(router.updateHealth()).to.deep.equal([]);
     fail();
-    expect(router.review()).to.deep.equal([
+    expect(router.updateHealth()).to.deep.equal([
       { upstream: 'kent-1', from: 'serving', to: 'ejected', reason: 'failing' },
     ]);
     expect(shares(400)).not.to.have.property('kent-1');
@@ -159,14 +162,14 @@
   it('ejects at most half of the upstreams, and none when all are slow', async () => {
     const { router, serve } = routerWith(upstreamsIn('kent', 6));
     await serve(6, (id) => (Number(id.slice(-1)) < 3 ? 100 : 5_000));
-    expect(router.review()).to.have.length(3);
+    expect(router.updateHealth()).to.have.length(3);
     const overloaded = routerWith(upstreamsIn('kent', 4));
     await overloaded.serve(6, () => 8_000);
-    expect(overloaded.router.review()).to.deep.equal([]);
+    expect(overloaded.router.updateHealth()).to.deep.equal([]);
     const silent = routerWith(upstreamsIn('kent', 2));
-    silent.router.silent('kent-0', true);
+    silent.router.setSilent('kent-0', true);
     expect(silent.shares(20)).to.deep.equal({ 'kent-1': 20 });
-    silent.router.silent('kent-1', true);
+    silent.router.setSilent('kent-1', true);
     expect(silent.router.choose({ target: 'm' })).to.include({ method: 'last-resort' });
   });
 
@@ -174,7 +177,7 @@
     const { router, shares } = routerWith(upstreamsIn('kent', 4));
     const [home] = Object.keys(shares(50, 'p1'));
     expect(shares(50, 'p1')).to.deep.equal({ [home!]: 50 });
-    router.load(home!, loadOf({ queued: 40 }));
+    router.recordLoad(home!, loadOf({ queued: 40 }));
     const moved = Object.keys(shares(50, 'p1'));
     expect(moved).to.have.length(1);
     expect(moved).not.to.include(home);
