--- a/packages/agent/src/core/agent.ts
+++ b/packages/agent/src/core/agent.ts
@@ -4,7 +4,7 @@
 import type { AgentSettings, Clock, Logger, Metrics, Random } from '@plantaindrum/common';
 import type { GroupTimings } from '@plantaindrum/experts';
 import type { IntentNode } from '@plantaindrum/intent';
-import { createIntentReader, isStopped, joinIntentToLinks } from '@plantaindrum/intent';
+import { createIntentReader, isStopped, createIntentLinks } from '@plantaindrum/intent';
 import type { Link, LinkLimits } from '@plantaindrum/link';
 import { NODE_STATUS } from '@plantaindrum/link';
 import type { Log } from '@plantaindrum/service-clients';
@@ -66,7 +66,7 @@
   const links = createAgentLinks({
     settings,
     instance,
-    intent: joinIntentToLinks(intent),
+    intent: createIntentLinks(intent),
     load,
     onEntry: entries.onLink,
     ...(options.linkLimits && { limits: options.linkLimits }),
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -215,14 +215,14 @@
     listen: options.addresses.links,
     seeds: options.seeds,
     intentVersion: () => Math.trunc(routeTable?.intent.version ?? -1),
-    onPeerAhead: entryTopics.intent.hurry,
+    onPeerAhead: entryTopics.intent.fetchNow,
     onLoadUpdate: directory.applyPeerLoad,
     fullLoadUpdate: loadBroadcaster.fullUpdate,
     onRateLimitUpdate: rateLimits.applyUpdate,
     fullRateLimitUpdate: rateLimits.snapshot,
     onQuarantineUpdate: quarantine.handlePeerUpdate,
     fullQuarantineUpdate: quarantine.fullUpdate,
-    onPush: (topic, push) => followedTopics.follower(topic)?.takePush(push),
+    onPush: (topic, push) => followedTopics.follower(topic)?.handlePush(push),
     onPeerLost: (peer) => {
       directory.all().forEach((upstream) => upstream.forgetPeer(peer));
       quarantine.forgetPeer(peer);
--- a/packages/gateway/src/mesh/entry-topics.ts
+++ b/packages/gateway/src/mesh/entry-topics.ts
@@ -1,7 +1,7 @@
 /** Follows the topics of the platform's log that an entry needs, and publishes the entry's own node record. */
 
 import type { Clock, EventLog } from '@plantaindrum/common';
-import { createKeyedMirror, createPublisher, decodeNode } from '@plantaindrum/mirror';
+import { createKeyedMirror, createPublisher, decodeNodeRecord } from '@plantaindrum/mirror';
 import type {
   Follower,
   KeyedChange,
@@ -65,7 +65,7 @@
   const nodes = new Map<string, NodeRecord>();
 
   const applyNode = ({ key, value }: KeyedChange): void => {
-    const record = value && decodeNode(value);
+    const record = value && decodeNodeRecord(value);
     if (record) nodes.set(key, record);
     else nodes.delete(key);
     options.onNodes([...nodes.values()]);
@@ -84,7 +84,7 @@
   followed.follow(topics.upstreams, upstreamMirror, UPSTREAMS_READ);
   followed.follow(topics.nodes, nodeMirror, {
     ...NODES_READ,
-    onRestored: () => publisher.confirm(nodeMirror),
+    onRestored: () => publisher.ensurePublished(nodeMirror),
   });
   followed.follow(topics.quarantine, quarantineMirror, {
     ...QUARANTINE_READ,
--- a/packages/gateway/src/mesh/followed-topics.ts
+++ b/packages/gateway/src/mesh/followed-topics.ts
@@ -1,7 +1,7 @@
 /** Follows topics of the platform's log, reading them from the log itself or from peers over links. */
 
 import type { Clock, EventLog, Metrics } from '@plantaindrum/common';
-import { followTopic, WHOLE } from '@plantaindrum/mirror';
+import { followTopic, TOPIC_START } from '@plantaindrum/mirror';
 import type {
   Follower,
   KeyedMirror,
@@ -9,7 +9,7 @@
   PeerPush,
   PeerRecords,
   RestoreSource,
-  TopicPlace,
+  TopicPosition,
 } from '@plantaindrum/mirror';
 import type { Mesh } from './mesh.js';
 
@@ -32,7 +32,7 @@
   /** Returns the follower of a topic by the topic's name. */
   follower(name: string): Follower | undefined;
   /** Returns a topic's records after a position, for a peer; all records when the peer's generation is older. */
-  recordsAfter(name: string, after: TopicPlace): PeerRecords | undefined;
+  recordsAfter(name: string, after: TopicPosition): PeerRecords | undefined;
   close(): void;
 }
 
@@ -53,16 +53,16 @@
   return {
     follow: (topic, mirror, reading) => {
       const onRestored = (source: RestoreSource): void => {
-        followed.forEach(({ follower }) => follower.noteGeneration(mirror.generation()));
+        followed.forEach(({ follower }) => follower.handleGeneration(mirror.generation()));
         reading.onRestored?.(source);
       };
       const follower = followTopic({
         topic,
         mirror,
-        askPeers: async (name, after) => mesh()?.fetchFromPeer(name, after),
+        fetchFromPeers: async (name, after) => mesh()?.fetchFromPeer(name, after),
         // One entry reads the log for all others, since calls to the log are billed and links between entries exist anyway.
-        isReadByPeer: () => mesh()?.hasLowerPeer() ?? false,
-        onAnswer: (push: PeerPush) => mesh()?.broadcastPush(topic.name, push),
+        isDelegated: () => mesh()?.hasLowerPeer() ?? false,
+        onLogRead: (push: PeerPush) => mesh()?.broadcastPush(topic.name, push),
         ...reading,
         onRestored,
         clock,
@@ -79,7 +79,9 @@
       const { mirror, follower } = held;
       const generation = mirror.generation();
       if (after.generation > generation) return undefined;
-      const records = mirror.changesAfter(after.generation < generation ? WHOLE : after.offset);
+      const records = mirror.changesAfter(
+        after.generation < generation ? TOPIC_START : after.offset,
+      );
       return { records, end: mirror.end(), generation, ageMs: follower.age() };
     },
     close: () => followed.forEach(({ follower }) => follower.close()),
--- a/packages/gateway/src/mesh/mesh.ts
+++ b/packages/gateway/src/mesh/mesh.ts
@@ -4,8 +4,14 @@
 import { isNumber, isObject, silentLogger } from '@plantaindrum/common';
 import { createLinkClient, createLinkServer, defaultLinkLimits } from '@plantaindrum/link';
 import type { FrameHandler, Link, LinkClient, LinkOptions, LinkServer } from '@plantaindrum/link';
-import { readPush, readRecordList } from '@plantaindrum/mirror';
-import type { AskPeers, NodeRecord, PeerPush, PeerRecords, TopicPlace } from '@plantaindrum/mirror';
+import { parsePush, parseRecordList } from '@plantaindrum/mirror';
+import type {
+  FetchFromPeers,
+  NodeRecord,
+  PeerPush,
+  PeerRecords,
+  TopicPosition,
+} from '@plantaindrum/mirror';
 import type { ListenAddress } from '../caller-server.js';
 import type { QuarantineUpdate } from '../quarantine/quarantine-update.js';
 import { readEngineSlowdown } from './engine-slowdown.js';
@@ -35,7 +41,7 @@
   /** Broadcasts records that the log has just returned. */
   broadcastPush(topic: string, push: PeerPush): void;
   /** Fetches records of a topic after a position from a linked entry chosen at random. */
-  fetchFromPeer: AskPeers;
+  fetchFromPeer: FetchFromPeers;
   close(): Promise<void>;
 }
 
@@ -66,7 +72,7 @@
   /** Called when an agent reports the slowdown of the engine beside it. */
   onEngineSlowdown: (slowdown: EngineSlowdown) => void;
   /** Returns the records that this entry's mirror of a topic holds after a position. */
-  recordsAfter: (topic: string, after: TopicPlace) => PeerRecords | undefined;
+  recordsAfter: (topic: string, after: TopicPosition) => PeerRecords | undefined;
   clock: Clock;
   random: Random;
   metrics: Metrics;
@@ -84,14 +90,14 @@
 const readPeerRecords = (value: unknown): PeerRecords | undefined => {
   if (!isObject(value)) return undefined;
   const { end, generation, ageMs } = value;
-  const records = readRecordList(value.records);
+  const records = parseRecordList(value.records);
   if (!records || !isNumber(end) || !isNumber(generation) || !isNumber(ageMs)) return undefined;
   return { records, end, generation, ageMs };
 };
 
 const readTopicPush = (value: unknown): { topic: string; push: PeerPush } | undefined => {
   if (!isObject(value) || typeof value.topic !== 'string') return undefined;
-  const push = readPush(value);
+  const push = parsePush(value);
   return push && { topic: value.topic, push };
 };
 
--- a/packages/intent/src/core/data-centre/stopping.ts
+++ b/packages/intent/src/core/data-centre/stopping.ts
@@ -51,7 +51,7 @@
 /** Ramps up the share of work of a data centre that returns after a stop. */
 export interface ReturnRamp {
   /** Applies the intent document; to be called after each change. */
-  follow(document: IntentDocument): void;
+  update(document: IntentDocument): void;
   /** Share of its usual work that a data centre gets at present, 0 to 1. */
   share(dataCentre: string): number;
   /** Whether a request may go there, decided at random with the share as probability. */
@@ -96,5 +96,5 @@
     return Math.min(1, INITIAL_SHARE + (1 - INITIAL_SHARE) * progress);
   };
 
-  return { follow, share, admits: (dataCentre) => random() < share(dataCentre) };
+  return { update: follow, share, admits: (dataCentre) => random() < share(dataCentre) };
 };
--- a/packages/intent/src/core/membership/membership.ts
+++ b/packages/intent/src/core/membership/membership.ts
@@ -19,26 +19,26 @@
  * Whether a VM may get new work (`usable`), or why not: `leaving` was announced by its process or
  * by the list, `unlinked` has no link at present, `forgotten` was dropped from the list.
  */
-export type Standing = 'usable' | 'leaving' | 'unlinked' | 'forgotten';
+export type Availability = 'usable' | 'leaving' | 'unlinked' | 'forgotten';
 
 /** A known VM, and whether it may get new work. */
 export interface Member<V extends ListedVm> {
   vm: V;
-  standing: Standing;
+  availability: Availability;
 }
 
 /** Combines the VM list with the events of links. */
 export interface Membership<V extends ListedVm> {
   /** Applies a complete VM list. */
-  listed(vms: readonly V[]): void;
+  applyList(vms: readonly V[]): void;
   /** Records that a link to this instance of the VM's process is up. */
-  linked(name: string, instance: string): void;
+  handleLinked(name: string, instance: string): void;
   /** Records that this instance announced that it takes no new work. */
-  announcedLeaving(name: string, instance: string): void;
+  handleLeaving(name: string, instance: string): void;
   /** Records that the link to this instance has closed. */
-  unlinked(name: string, instance: string): void;
+  handleUnlinked(name: string, instance: string): void;
   members(): Member<V>[];
-  standing(name: string): Standing | undefined;
+  availability(name: string): Availability | undefined;
   /** Whether to keep dialling the VM while it has no link. */
   shouldDial(name: string): boolean;
 }
@@ -99,7 +99,7 @@
     else known.set(entry.vm.name, { ...entry, missingSince });
   };
 
-  const availabilityOf = (entry: KnownVm<V>): Standing => {
+  const availabilityOf = (entry: KnownVm<V>): Availability => {
     const { instance, leavingInstance, missingSince, vm } = entry;
     if (instance === undefined) return 'unlinked';
     if (instance === leavingInstance || vm.state === 'leaving') return 'leaving';
@@ -110,7 +110,7 @@
   };
 
   return {
-    listed: (vms) => {
+    applyList: (vms) => {
       const names = new Set(vms.map(({ name }) => name));
       vms.forEach(recordListed);
       if (isImplausible(names)) {
@@ -119,23 +119,23 @@
       }
       [...known.values()].filter(({ vm }) => !names.has(vm.name)).forEach(recordMissing);
     },
-    linked: (name, instance) => {
+    handleLinked: (name, instance) => {
       const entry = known.get(name);
       if (entry) entry.instance = instance;
     },
-    announcedLeaving: (name, instance) => {
+    handleLeaving: (name, instance) => {
       const entry = known.get(name);
       if (entry?.instance === instance) entry.leavingInstance = instance;
     },
-    unlinked: (name, instance) => {
+    handleUnlinked: (name, instance) => {
       const entry = known.get(name);
       if (entry?.instance !== instance) return;
       entry.instance = undefined;
       if (entry.missingSince !== undefined) known.delete(name);
     },
     members: () =>
-      [...known.values()].map((entry) => ({ vm: entry.vm, standing: availabilityOf(entry) })),
-    standing: (name) => {
+      [...known.values()].map((entry) => ({ vm: entry.vm, availability: availabilityOf(entry) })),
+    availability: (name) => {
       const entry = known.get(name);
       return entry && availabilityOf(entry);
     },
--- a/packages/intent/src/links.ts
+++ b/packages/intent/src/links.ts
@@ -37,7 +37,7 @@
 });
 
 /** Creates the link handlers of a reader; a link's peer is removed when the link closes. */
-export const joinIntentToLinks = (node: IntentNode): IntentLinks => {
+export const createIntentLinks = (node: IntentNode): IntentLinks => {
   const peers = new WeakMap<IntentLink, IntentPeer>();
 
   const removePeerWhenClosed = async (link: IntentLink, peer: IntentPeer): Promise<void> => {
--- a/packages/intent/test/handover.test.ts
+++ b/packages/intent/test/handover.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { joinIntentToLinks } from '../src/index.js';
+import { createIntentLinks } from '../src/index.js';
 import type { IntentChange, IntentKey, IntentLink } from '../src/index.js';
 import type { Fleet, TestNode } from './support/nodes.js';
 import { changeClass, createFleet, submitAt } from './support/nodes.js';
@@ -21,7 +21,7 @@
 
   /** A link that closes, as a real one does, when a frame is too large. */
   const linkTo = (node: TestNode): IntentLink => {
-    const { handlers } = joinIntentToLinks(node.node);
+    const { handlers } = createIntentLinks(node.node);
     return {
       peer: { node: node.name },
       closed: new Promise(() => {}),
@@ -54,7 +54,7 @@
   // state exceeds the frame limit and would close the link each time, so the node would never be ready.
   it('sends the state in parts that fit in a frame', async () => {
     const b = fleet.start('b');
-    joinIntentToLinks(b.node).onLink(linkTo(a));
+    createIntentLinks(b.node).onLink(linkTo(a));
     await fleet.run(5_000);
     expect(b.node.freshness().caughtUp).to.equal(true);
     expect(b.node.current()).to.deep.equal(a.node.current());
@@ -83,7 +83,7 @@
       return call(...args);
     };
     b.faults.down = true;
-    joinIntentToLinks(b.node).onLink(link);
+    createIntentLinks(b.node).onLink(link);
     await fleet.run(10_000);
     expect([...sizes]).to.deep.equal([ORGANISATIONS]);
     expect(b.node.current()).to.deep.equal(a.node.current());
--- a/packages/intent/test/membership.test.ts
+++ b/packages/intent/test/membership.test.ts
@@ -19,71 +19,71 @@
     clock = createManualClock();
     metrics = createMetrics();
     membership = createMembership({ clock, metrics });
-    membership.listed([vm('a'), vm('b'), vm('c')]);
-    ['a', 'b', 'c'].forEach((name) => membership.linked(name, `${name}1`));
+    membership.applyList([vm('a'), vm('b'), vm('c')]);
+    ['a', 'b', 'c'].forEach((name) => membership.handleLinked(name, `${name}1`));
   });
 
   // An agent announces that it is leaving while the list still shows its VM as live. The entry must
   // send it no new work from then on; a process that replaces it is usable again.
   it('prefers the announcement of a leaving VM over the list', () => {
-    membership.announcedLeaving('a', 'a1');
-    membership.listed([vm('a'), vm('b'), vm('c')]);
-    expect(membership.standing('a')).to.equal('leaving');
-    membership.unlinked('a', 'a1');
-    membership.linked('a', 'a2');
-    expect(membership.standing('a')).to.equal('usable');
+    membership.handleLeaving('a', 'a1');
+    membership.applyList([vm('a'), vm('b'), vm('c')]);
+    expect(membership.availability('a')).to.equal('leaving');
+    membership.handleUnlinked('a', 'a1');
+    membership.handleLinked('a', 'a2');
+    expect(membership.availability('a')).to.equal('usable');
   });
 
   it('ignores late events of a closed link', () => {
-    membership.unlinked('a', 'a1');
-    membership.linked('a', 'a2');
-    membership.announcedLeaving('a', 'a1');
-    membership.unlinked('a', 'a1');
-    expect(membership.standing('a')).to.equal('usable');
+    membership.handleUnlinked('a', 'a1');
+    membership.handleLinked('a', 'a2');
+    membership.handleLeaving('a', 'a1');
+    membership.handleUnlinked('a', 'a1');
+    expect(membership.availability('a')).to.equal('usable');
   });
 
   it('gives no new work to a VM that the list shows as leaving', () => {
-    membership.listed([vm('a', 'leaving'), vm('b'), vm('c')]);
-    expect(membership.standing('a')).to.equal('leaving');
+    membership.applyList([vm('a', 'leaving'), vm('b'), vm('c')]);
+    expect(membership.availability('a')).to.equal('leaving');
   });
 
   // A VM dies unannounced and the list shows it for another minute. Without a link it gets no work;
   // it is still dialled, since the fault may be the network's.
   it('gives no work to a dead VM that the list still shows', () => {
-    membership.unlinked('a', 'a1');
-    membership.listed([vm('a'), vm('b'), vm('c')]);
-    expect(membership.standing('a')).to.equal('unlinked');
+    membership.handleUnlinked('a', 'a1');
+    membership.applyList([vm('a'), vm('b'), vm('c')]);
+    expect(membership.availability('a')).to.equal('unlinked');
     expect(membership.shouldDial('a')).to.equal(true);
   });
 
   // The list drops a VM whose link is up: either a fault of one list, or the VM is about to stop.
   it('gives no new work to a VM that two lists in a row have dropped', async () => {
-    membership.listed([vm('b'), vm('c')]);
-    expect(membership.standing('a')).to.equal('usable');
+    membership.applyList([vm('b'), vm('c')]);
+    expect(membership.availability('a')).to.equal('usable');
     await clock.advance(1_500);
-    expect(membership.standing('a')).to.equal('forgotten');
+    expect(membership.availability('a')).to.equal('forgotten');
     expect(membership.shouldDial('a')).to.equal(false);
-    membership.listed([vm('a'), vm('b'), vm('c')]);
-    expect(membership.standing('a')).to.equal('usable');
-    membership.listed([vm('b'), vm('c')]);
-    membership.unlinked('a', 'a1');
-    expect(membership.standing('a')).to.equal(undefined);
+    membership.applyList([vm('a'), vm('b'), vm('c')]);
+    expect(membership.availability('a')).to.equal('usable');
+    membership.applyList([vm('b'), vm('c')]);
+    membership.handleUnlinked('a', 'a1');
+    expect(membership.availability('a')).to.equal(undefined);
   });
 
   // After a fault of the platform its list is empty while all VMs answer. Applying it would make
   // entries reject every request.
   it('ignores the removals of a list that dropped most VMs at once', async () => {
-    membership.listed([]);
+    membership.applyList([]);
     await clock.advance(60_000);
-    expect(membership.members().map(({ standing }) => standing)).to.deep.equal(
+    expect(membership.members().map(({ availability: standing }) => standing)).to.deep.equal(
       Array.from({ length: 3 }, () => 'usable'),
     );
     expect(metrics.counter('vm_list_not_believed')).to.equal(1);
   });
 
   it('treats a VM of the same name at another address as a new one', () => {
-    membership.listed([{ ...vm('a'), address: 'a:2' }, vm('b'), vm('c')]);
-    expect(membership.standing('a')).to.equal('unlinked');
+    membership.applyList([{ ...vm('a'), address: 'a:2' }, vm('b'), vm('c')]);
+    expect(membership.availability('a')).to.equal('unlinked');
   });
 
   it('spreads dials over the time that a peer needs to accept them', () => {
--- a/packages/intent/test/stopping.test.ts
+++ b/packages/intent/test/stopping.test.ts
@@ -34,9 +34,9 @@
     const clock = createManualClock();
     const ramp = createReturnRamp({ clock, random: () => 0.5, rampMs: 10_000 });
     const shares = [ramp.share('kent')];
-    ramp.follow(stopped);
+    ramp.update(stopped);
     shares.push(ramp.share('kent'));
-    ramp.follow(documentWith('serving'));
+    ramp.update(documentWith('serving'));
     shares.push(ramp.share('kent'));
     expect(ramp.admits('kent')).to.equal(false);
     await clock.advance(5_000);
--- a/packages/lab/src/experiments/intent/node.ts
+++ b/packages/lab/src/experiments/intent/node.ts
@@ -10,7 +10,7 @@
   systemClock,
   systemRandom,
 } from '@plantaindrum/common';
-import { createIntentReader, joinIntentToLinks } from '@plantaindrum/intent';
+import { createIntentReader, createIntentLinks } from '@plantaindrum/intent';
 import type { IntentSubmission } from '@plantaindrum/intent';
 import {
   createLinkClient,
@@ -69,7 +69,7 @@
   follow: args.follow,
   detectGaps: args.gaps,
 });
-const links = joinIntentToLinks(reader);
+const links = createIntentLinks(reader);
 const seenAt = new Map<number, number>();
 let lastSeen = reader.current().offset;
 
--- a/packages/link/src/connection.ts
+++ b/packages/link/src/connection.ts
@@ -103,7 +103,7 @@
   };
 
   const heartbeatIntervalMs = (): number =>
-    (opened && options.heartbeatMsWith?.(opened.link.peer.node)) ?? limits.heartbeatMs;
+    (opened && options.heartbeatMsFor?.(opened.link.peer.node)) ?? limits.heartbeatMs;
 
   /**
    * Sends a heartbeat, and closes the link after too many without a byte from the peer. Heartbeats are counted instead
--- a/packages/link/src/options.ts
+++ b/packages/link/src/options.ts
@@ -50,7 +50,7 @@
   load?: () => Load;
   limits: LinkLimits;
   /** Overrides `limits.heartbeatMs` for a peer's node, in milliseconds; called at each heartbeat. */
-  heartbeatMsWith?: (node: string) => number;
+  heartbeatMsFor?: (node: string) => number;
   /** Handlers of the methods that peers may call, by name (`area.verb`). */
   handlers: Record<string, CallHandler>;
   /** Called for each new link; returns the handler of its frames. */
--- a/packages/mirror/src/follow.ts
+++ b/packages/mirror/src/follow.ts
@@ -6,8 +6,8 @@
 import { createUnconfirmedExpiry } from './unconfirmed-expiry.js';
 import { readSnapshot } from './topic-snapshot.js';
 import type { TopicSnapshot } from './topic-snapshot.js';
-import { WHOLE } from './topic.js';
-import type { AskPeers, KeyedTopic, LogFailure, PeerPush, PeerRecords } from './topic.js';
+import { TOPIC_START } from './topic.js';
+import type { FetchFromPeers, KeyedTopic, LogFailure, PeerPush, PeerRecords } from './topic.js';
 
 /** Where the mirror got the first snapshot of a log that was restored from an older copy. */
 export type RestoreSource = 'log' | 'peer';
@@ -16,11 +16,11 @@
 export interface FollowOptions {
   topic: KeyedTopic;
   mirror: KeyedMirror;
-  askPeers: AskPeers;
+  fetchFromPeers: FetchFromPeers;
   /** Whether a peer reads the log and forwards its answers to this node; checked before each read. */
-  isReadByPeer?: () => boolean;
+  isDelegated?: () => boolean;
   /** Called after each successful read of the log with what to forward to peers. */
-  onAnswer?: (push: PeerPush) => void;
+  onLogRead?: (push: PeerPush) => void;
   /** Called when the mirror has switched to a log that was restored from an older copy. */
   onRestored?: (source: RestoreSource) => void;
   /**
@@ -47,11 +47,11 @@
   /** When the log was last reachable again after an outage or a restore (monotonic, ms); -Infinity for never. */
   logBackAt(): number;
   /** Fetches from peers at once, because one of them is known to be ahead. */
-  hurry(): void;
+  fetchNow(): void;
   /** Reads a new snapshot if another topic has shown that the log is at a later generation, so has been restored. */
-  noteGeneration(generation: number): void;
+  handleGeneration(generation: number): void;
   /** Applies records that a peer forwards from the log. */
-  takePush(push: PeerPush): void;
+  handlePush(push: PeerPush): void;
   close(): void;
 }
 
@@ -76,7 +76,7 @@
 
 /** Starts following a topic; runs until `close`. */
 export const followTopic = (options: FollowOptions): Follower => {
-  const { topic, mirror, askPeers, waitMs, pauseMs, clock, metrics, log } = options;
+  const { topic, mirror, fetchFromPeers: askPeers, waitMs, pauseMs, clock, metrics, log } = options;
   const pause: Pause = createPause(clock);
   let stopped = false;
   let confirmedAt = -Infinity;
@@ -152,7 +152,7 @@
   };
 
   const forwardAnswer = (after: number): void => {
-    options.onAnswer?.({ after, records: mirror.changesAfter(after), ...position() });
+    options.onLogRead?.({ after, records: mirror.changesAfter(after), ...position() });
   };
 
   const hasRecentPush = (): boolean => since(pushedAt) < waitMs + pauseMs + PUSH_SLACK_MS;
@@ -169,7 +169,7 @@
     const before = position();
     const isApplied = applySnapshot(read.snapshot, 'log');
     recordAnswer(isApplied);
-    forwardAnswer(before.generation === mirror.generation() ? before.end : WHOLE);
+    forwardAnswer(before.generation === mirror.generation() ? before.end : TOPIC_START);
     return true;
   };
 
@@ -198,7 +198,7 @@
   const followLog = async (): Promise<void> => {
     let isLoaded = false;
     while (!stopped) {
-      if (isLoaded && !needsSnapshot && options.isReadByPeer?.() && hasRecentPush()) {
+      if (isLoaded && !needsSnapshot && options.isDelegated?.() && hasRecentPush()) {
         await pause.wait(DELEGATION_CHECK_INTERVAL_MS);
         continue;
       }
@@ -244,10 +244,10 @@
     const { after, end, generation } = push;
     if (stopped || generation < mirror.generation()) return;
     const isLaterGeneration = generation > mirror.generation() && mirror.generation() >= 0;
-    if (isLaterGeneration && after !== WHOLE) {
+    if (isLaterGeneration && after !== TOPIC_START) {
       needsSnapshot = true;
       pause.end();
-      void fetchOnce(WHOLE);
+      void fetchOnce(TOPIC_START);
       return;
     }
     // A peer that is behind this mirror, because it reads from a lagging store, confirms nothing.
@@ -268,16 +268,16 @@
     age: () => since(confirmedAt),
     logAge: () => since(logAnsweredAt),
     logBackAt: () => recoveredAt,
-    hurry: () => {
-      void fetchOnce(WHOLE);
+    fetchNow: () => {
+      void fetchOnce(TOPIC_START);
     },
-    noteGeneration: (generation) => {
+    handleGeneration: (generation) => {
       const isKnown = mirror.generation() < 0 || generation <= mirror.generation();
-      const isDelegated = options.isReadByPeer?.() === true && hasRecentPush();
+      const isDelegated = options.isDelegated?.() === true && hasRecentPush();
       // A long poll that is pending may never be answered, as it was sent to the log that has been lost.
       if (!stopped && !isKnown && !isDelegated) void resync();
     },
-    takePush,
+    handlePush: takePush,
     close: () => {
       stopped = true;
       unconfirmedExpiry.close();
--- a/packages/mirror/src/node-record.ts
+++ b/packages/mirror/src/node-record.ts
@@ -13,11 +13,11 @@
   host: string;
   port: number;
   /** An agent's expert group and the engine beside it. */
-  group?: RankPlace | undefined;
+  group?: RankRecord | undefined;
 }
 
 /** An agent's rank in an expert group, and the address of its engine. */
-export interface RankPlace {
+export interface RankRecord {
   name: string;
   rank: number;
   engineHost: string;
@@ -25,9 +25,9 @@
 }
 
 /** Encodes a node's record for the log. */
-export const encodeNode = (record: NodeRecord): Uint8Array => encodeJson(record);
+export const encodeNodeRecord = (record: NodeRecord): Uint8Array => encodeJson(record);
 
-const decodeRank = (value: unknown): RankPlace | undefined => {
+const decodeRank = (value: unknown): RankRecord | undefined => {
   if (!isObject(value)) return undefined;
   const { name, rank, engineHost, enginePort } = value;
   const isValid =
@@ -39,7 +39,7 @@
 };
 
 /** Decodes a node's record; undefined if it is malformed. */
-export const decodeNode = (bytes: Uint8Array): NodeRecord | undefined => {
+export const decodeNodeRecord = (bytes: Uint8Array): NodeRecord | undefined => {
   const value = decodeJson(bytes);
   if (!isObject(value)) return undefined;
   const { node, instance, role, dataCentre, host, port } = value;
--- a/packages/mirror/src/peer-push.ts
+++ b/packages/mirror/src/peer-push.ts
@@ -11,16 +11,16 @@
   (value.value === undefined || value.value === null || value.value instanceof Uint8Array);
 
 /** Parses records of a keyed topic; undefined if any of them is malformed. */
-export const readRecordList = (value: unknown): KeyedRecord[] | undefined =>
+export const parseRecordList = (value: unknown): KeyedRecord[] | undefined =>
   Array.isArray(value) && value.every(isRecord)
     ? value.map((record) => ({ ...record, value: record.value ?? undefined }))
     : undefined;
 
 /** Parses a push from a peer; undefined if it is malformed. */
-export const readPush = (value: unknown): PeerPush | undefined => {
+export const parsePush = (value: unknown): PeerPush | undefined => {
   if (!isObject(value)) return undefined;
   const { after, end, generation, records } = value;
   if (!isNumber(after) || !isNumber(end) || !isNumber(generation)) return undefined;
-  const parsed = readRecordList(records);
+  const parsed = parseRecordList(records);
   return parsed && { after, end, generation, records: parsed };
 };
--- a/packages/mirror/src/publisher.ts
+++ b/packages/mirror/src/publisher.ts
@@ -4,7 +4,7 @@
 import { createPause } from '@plantaindrum/common';
 import { UNCONFIRMED_OFFSET } from './keyed-mirror.js';
 import type { KeyedMirror } from './keyed-mirror.js';
-import { encodeNode } from './node-record.js';
+import { encodeNodeRecord } from './node-record.js';
 import type { NodeRecord } from './node-record.js';
 
 /** Appends a node's record under its name; false unless the log has acknowledged it. */
@@ -21,7 +21,7 @@
 /** Keeps a node's record in the platform's log. */
 export interface Publisher {
   /** Publishes again if the mirror lacks the record, as after the log was restored from an older copy. */
-  confirm(mirror: KeyedMirror): void;
+  ensurePublished(mirror: KeyedMirror): void;
   close(): void;
 }
 
@@ -32,7 +32,7 @@
 /** Starts publishing. Retrying is safe: appending the same record twice has no further effect. */
 export const createPublisher = (options: PublisherOptions): Publisher => {
   const { record, publish, clock, log } = options;
-  const bytes = encodeNode(record);
+  const bytes = encodeNodeRecord(record);
   const pause = createPause(clock);
   let stopped = false;
   let isPublishing = false;
@@ -56,7 +56,7 @@
       .some(({ key, value }) => key === record.node && Buffer.compare(value, bytes) === 0);
 
   return {
-    confirm: (mirror) => {
+    ensurePublished: (mirror) => {
       if (stopped || isPublished(mirror)) return;
       log.event('publish-again', { node: record.node, generation: mirror.generation() });
       void publishUntilAcknowledged();
--- a/packages/mirror/src/topic-snapshot.ts
+++ b/packages/mirror/src/topic-snapshot.ts
@@ -22,14 +22,14 @@
 
 /** Reads a snapshot as of the end that the first page reports. */
 export const readSnapshot = async (topic: KeyedTopic): Promise<SnapshotOutcome> => {
-  const first = await topic.newest(undefined);
+  const first = await topic.readLatest(undefined);
   if (first.outcome === 'failed') return first;
   const { end, generation } = first;
   const items = [...first.items];
   let page = first;
   for (let pages = 1; page.hasMore && page.items.length > 0 && pages < MAX_PAGES; pages += 1) {
     // Changes between two pages aren't missed: the log is read next from the first page's end.
-    const next = await topic.newest(items.at(-1)?.key);
+    const next = await topic.readLatest(items.at(-1)?.key);
     if (next.outcome === 'failed') return next;
     if (next.generation !== generation) return { outcome: 'restored' };
     items.push(...next.items);
--- a/packages/mirror/src/topic.ts
+++ b/packages/mirror/src/topic.ts
@@ -16,7 +16,7 @@
   | { outcome: 'failed'; why: LogFailure };
 
 /** Outcome of reading one page of the latest values. */
-export type LogNewestOutcome =
+export type LogLatestOutcome =
   | { outcome: 'items'; items: KeyedItem[]; hasMore: boolean; end: number; generation: number }
   | { outcome: 'failed'; why: LogFailure };
 
@@ -26,11 +26,11 @@
   /** Reads records from an offset on; waits up to `waitMs` for the first. */
   read(from: number, waitMs: number): Promise<LogReadOutcome>;
   /** Reads a page of latest values, of the keys that follow the key `after`. */
-  newest(after: string | undefined): Promise<LogNewestOutcome>;
+  readLatest(after: string | undefined): Promise<LogLatestOutcome>;
 }
 
 /** A position in a topic: an offset, and the generation of the log that it belongs to. */
-export interface TopicPlace {
+export interface TopicPosition {
   generation: number;
   offset: number;
 }
@@ -54,7 +54,10 @@
 }
 
 /** Stands for the offset before all records of a topic. */
-export const WHOLE = -1;
+export const TOPIC_START = -1;
 
 /** Fetches the records that a peer holds after a position; undefined if no peer answered. */
-export type AskPeers = (topic: string, after: TopicPlace) => Promise<PeerRecords | undefined>;
+export type FetchFromPeers = (
+  topic: string,
+  after: TopicPosition,
+) => Promise<PeerRecords | undefined>;
--- a/packages/mirror/test/follow.test.ts
+++ b/packages/mirror/test/follow.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import { createManualClock, createMetrics, silentEventLog } from '@plantaindrum/common';
-import { createKeyedMirror, followTopic, UNCONFIRMED_OFFSET, WHOLE } from '../src/index.js';
+import { createKeyedMirror, followTopic, UNCONFIRMED_OFFSET, TOPIC_START } from '../src/index.js';
 import type { KeyedRecord, KeyedTopic, LogReadOutcome, PeerRecords } from '../src/index.js';
 
 const record = (key: string, offset: number, value: string): KeyedRecord => ({
@@ -34,7 +34,7 @@
   const topic: KeyedTopic = {
     name: 't',
     read: (from) => answer(() => read(from)),
-    newest: () =>
+    readLatest: () =>
       answer(() => ({
         outcome: 'items' as const,
         items: [...new Map(records.map((r) => [r.key, r])).values()].flatMap((r) =>
@@ -75,8 +75,8 @@
   const follower = followTopic({
     topic: log.topic,
     mirror,
-    askPeers: async () => peer?.(),
-    isReadByPeer,
+    fetchFromPeers: async () => peer?.(),
+    isDelegated: isReadByPeer,
     waitMs: 0,
     pauseMs: 100,
     ...(retryMaxMs === undefined ? {} : { retryMaxMs }),
@@ -99,7 +99,7 @@
   const from: number[] = [];
   const topic: KeyedTopic = {
     name: 't',
-    newest: async () => ({ outcome: 'items', items: [], hasMore: false, end, generation: 0 }),
+    readLatest: async () => ({ outcome: 'items', items: [], hasMore: false, end, generation: 0 }),
     read: (offset) => {
       from.push(offset);
       return new Promise((resolve) => {
@@ -235,11 +235,11 @@
 
   it('does not read the log while the peer pushes its answers', async () => {
     const { clock, log, mirror, follower } = await startDelegated();
-    follower.takePush({ after: 1, records: [], end: 1, generation: 0 });
+    follower.handlePush({ after: 1, records: [], end: 1, generation: 0 });
     const reads = log.reads();
     for (let n = 2; n < 12; n += 1) {
       await clock.advance(200);
-      follower.takePush({
+      follower.handlePush({
         after: n - 1,
         records: [record('k', n - 1, `${n}`)],
         end: n,
@@ -256,7 +256,7 @@
   // itself again, operators' changes don't arrive.
   it('reads the log again when the peer stops pushing', async () => {
     const { clock, log, mirror, follower } = await startDelegated();
-    follower.takePush({ after: 1, records: [], end: 1, generation: 0 });
+    follower.handlePush({ after: 1, records: [], end: 1, generation: 0 });
     await clock.advance(200);
     log.add('k', '2');
     await clock.advance(700);
@@ -269,7 +269,7 @@
   it('fetches the records of a push that it missed', async () => {
     const missed = { records: [record('k', 4, '5')], end: 5, generation: 0, ageMs: 0 };
     const { clock, mirror, follower } = await startDelegated(() => missed);
-    follower.takePush({ after: 4, records: [record('x', 4, '1')], end: 5, generation: 0 });
+    follower.handlePush({ after: 4, records: [record('x', 4, '1')], end: 5, generation: 0 });
     await clock.advance(10);
     expect(mirror.items().map(({ key }) => key)).to.deep.equal(['k']);
     expect(mirror.end()).to.equal(5);
@@ -280,7 +280,7 @@
     const { clock, follower } = await startDelegated();
     await clock.advance(60);
     const age = follower.age();
-    follower.takePush({ after: 0, records: [], end: 0, generation: 0 });
+    follower.handlePush({ after: 0, records: [], end: 0, generation: 0 });
     expect(follower.age()).to.equal(age);
     follower.close();
   });
@@ -337,9 +337,14 @@
 
   it('follows a peer to the restored log and ignores pushes of the earlier generation', async () => {
     const { follower, mirror, value } = await startRestored(undefined, () => true);
-    follower.takePush({ after: WHOLE, records: [record('k', 1, '5')], end: 2, generation: 1 });
+    follower.handlePush({
+      after: TOPIC_START,
+      records: [record('k', 1, '5')],
+      end: 2,
+      generation: 1,
+    });
     expect([value(), mirror.generation(), mirror.end()]).to.deep.equal(['5', 1, 2]);
-    follower.takePush({ after: 4, records: [record('k', 4, 'old')], end: 5, generation: 0 });
+    follower.handlePush({ after: 4, records: [record('k', 4, 'old')], end: 5, generation: 0 });
     expect([value(), mirror.generation(), mirror.end()]).to.deep.equal(['5', 1, 2]);
     follower.close();
   });
@@ -349,7 +354,12 @@
   it('ignores the answer to a read that began before it switched to the restored log', async () => {
     const { clock, mirror, follower, from, answer } = await startWithBlockedReads(4);
     await clock.advance(150);
-    follower.takePush({ after: WHOLE, records: [record('k', 1, '5')], end: 2, generation: 1 });
+    follower.handlePush({
+      after: TOPIC_START,
+      records: [record('k', 1, '5')],
+      end: 2,
+      generation: 1,
+    });
     answer({ outcome: 'records', records: [record('x', 4, '1')], end: 5, generation: 1 });
     await flushPromises();
     expect(mirror.end()).to.equal(2);
@@ -374,7 +384,7 @@
     const follower = followTopic({
       topic: log.topic,
       mirror,
-      askPeers: async () => held,
+      fetchFromPeers: async () => held,
       waitMs: 0,
       pauseMs: 100,
       rewrittenWithinMs: 2_000,
@@ -394,10 +404,10 @@
   // hasn't reached.
   it("reads a snapshot when it has missed a peer's first push of a later generation", async () => {
     const { log, follower, mirror, value } = await startRestored(undefined, () => true);
-    follower.takePush({ after: 4, records: [], end: 4, generation: 0 });
+    follower.handlePush({ after: 4, records: [], end: 4, generation: 0 });
     log.restore(1);
     ['5', '6'].forEach((each) => log.add('k', each));
-    follower.takePush({ after: 2, records: [record('k', 2, '6')], end: 3, generation: 1 });
+    follower.handlePush({ after: 2, records: [record('k', 2, '6')], end: 3, generation: 1 });
     await flushPromises();
     expect([value(), mirror.generation(), mirror.end()]).to.deep.equal(['6', 1, 3]);
     follower.close();
--- a/packages/plantaindrum/src/core/entry/entry-intent.ts
+++ b/packages/plantaindrum/src/core/entry/entry-intent.ts
@@ -2,7 +2,7 @@
 
 import type { EntrySettings } from '@plantaindrum/common';
 import type { IntentLinks, IntentNode } from '@plantaindrum/intent';
-import { createIntentReader, joinIntentToLinks, startCheckpointer } from '@plantaindrum/intent';
+import { createIntentReader, createIntentLinks, startCheckpointer } from '@plantaindrum/intent';
 import { createLogClient } from '@plantaindrum/service-clients';
 import type { EntryDeps } from './deps.js';
 
@@ -31,7 +31,7 @@
   });
   return {
     intent,
-    links: joinIntentToLinks(intent),
+    links: createIntentLinks(intent),
     close: async () => {
       checkpointer.close();
       await intent.close();
--- a/packages/plantaindrum/src/core/routing/entry-router.ts
+++ b/packages/plantaindrum/src/core/routing/entry-router.ts
@@ -127,7 +127,7 @@
       return (vm) => kept.has(vm.name);
     },
     handleIntentChange: () => {
-      ramp.follow(document());
+      ramp.update(document());
       updateRouter();
     },
     createEventHandlers: ({ name }) => {
--- a/packages/plantaindrum/src/core/upstreams/directory.ts
+++ b/packages/plantaindrum/src/core/upstreams/directory.ts
@@ -89,8 +89,8 @@
     const upstream = createUpstream(vm, metrics, options.createEventHandlers(vm));
     const onLink = (link: Link): FrameHandler => {
       const { instance } = link.peer;
-      membership.linked(vm.name, instance);
-      void link.closed.then(() => membership.unlinked(vm.name, instance));
+      membership.handleLinked(vm.name, instance);
+      void link.closed.then(() => membership.handleUnlinked(vm.name, instance));
       return upstream.onLink(link);
     };
     listed.set(vmKey(vm), { upstream, client: connectAfterDelay(vm, onLink) });
@@ -132,8 +132,10 @@
 
   /** Keeps linked VMs that are missing from the list: it lags, and may have lost records. */
   const reconcileWithLinks = (next: Vm[]): Vm[] => {
-    membership.listed(next.filter(({ role }) => role === 'upstream'));
-    const upstreams = membership.members().filter(({ standing }) => standing !== 'forgotten');
+    membership.applyList(next.filter(({ role }) => role === 'upstream'));
+    const upstreams = membership
+      .members()
+      .filter(({ availability }) => availability !== 'forgotten');
     return [...next.filter(({ role }) => role === 'entry'), ...upstreams.map(({ vm }) => vm)];
   };
 
--- a/packages/rank-groups/src/links/rank-links.ts
+++ b/packages/rank-groups/src/links/rank-links.ts
@@ -173,7 +173,7 @@
     identity: agentIdentity(self, options.region),
     intentOffset: () => -1,
     limits: LIMITS,
-    heartbeatMsWith: peerHeartbeatMs,
+    heartbeatMsFor: peerHeartbeatMs,
     handlers,
     onLink,
     clock,
--- a/packages/rank-groups/src/rank-agent.ts
+++ b/packages/rank-groups/src/rank-agent.ts
@@ -5,14 +5,19 @@
 
 import type { Clock, EventLog, Metrics, Random } from '@plantaindrum/common';
 import { sleep } from '@plantaindrum/common';
-import { createKeyedMirror, createPublisher, decodeNode, followTopic } from '@plantaindrum/mirror';
+import {
+  createKeyedMirror,
+  createPublisher,
+  decodeNodeRecord,
+  followTopic,
+} from '@plantaindrum/mirror';
 import type {
   Follower,
   KeyedTopic,
   NodeRecord,
   Publisher,
   PublishNode,
-  RankPlace,
+  RankRecord,
 } from '@plantaindrum/mirror';
 import { createCoordinator } from './coordinator.js';
 import type { Coordinator } from './coordinator.js';
@@ -91,7 +96,7 @@
 export const createRankAgent = async (options: RankAgentOptions): Promise<RankAgent> => {
   const { self, engineHost, enginePort, openEngine, clock, random, metrics, log } = options;
   const nodes = new Map<string, NodeRecord>();
-  let ownPlace: RankPlace | undefined;
+  let ownPlace: RankRecord | undefined;
   let coordinator: Coordinator | undefined;
   let telemetryPoller: TelemetryPoller | undefined;
   let shape: GroupShape | undefined;
@@ -145,7 +150,7 @@
   const methods = createRankMethods({
     member: () => member,
     placementCache,
-    onNodes: (push) => follower?.takePush(push),
+    onNodes: (push) => follower?.handlePush(push),
     clock,
   });
   const calls = createTreeCalls({ linkTo: (rank) => links?.linkToRank(rank), methods });
@@ -195,23 +200,23 @@
     log,
   });
   const mirror = createKeyedMirror(({ key, value }) => {
-    const record = value && decodeNode(value);
+    const record = value && decodeNodeRecord(value);
     if (record) nodes.set(key, record);
     else nodes.delete(key);
   });
   follower = followTopic({
     topic: options.nodes,
     mirror,
-    askPeers: async () => undefined,
+    fetchFromPeers: async () => undefined,
     // Each call to the log is billed. The coordinator's agent reads the registry for its group. The
     // others read it only while no lower rank is linked, or when no update was received for one
     // polling period.
-    isReadByPeer: () => !rankLinks.isLowest(),
-    onAnswer: (push) => {
+    isDelegated: () => !rankLinks.isLowest(),
+    onLogRead: (push) => {
       const isSmall = push.records.length <= MAX_FORWARDED_NODES;
       if (isSmall && rankLinks.isLowest()) port.forwardNodes(push);
     },
-    onRestored: () => publisher?.confirm(mirror),
+    onRestored: () => publisher?.ensurePublished(mirror),
     ...NODE_POLLING,
     clock,
     metrics,
--- a/packages/rank-groups/src/tree/rank-methods.ts
+++ b/packages/rank-groups/src/tree/rank-methods.ts
@@ -2,7 +2,7 @@
 
 import { isObject, sleep } from '@plantaindrum/common';
 import type { Clock } from '@plantaindrum/common';
-import { readPush } from '@plantaindrum/mirror';
+import { parsePush } from '@plantaindrum/mirror';
 import type { PeerPush } from '@plantaindrum/mirror';
 import { RETRY_DELAY_MS } from '../change/group-port.js';
 import type { PlacementCache } from '../links/placement-cache.js';
@@ -79,7 +79,7 @@
   };
 
   const applyNodes = async (args: unknown): Promise<RankOutcome> => {
-    const push = readPush(args);
+    const push = parsePush(args);
     if (push) options.onNodes(push);
     return push ? 'done' : 'refused';
   };
