--- a/packages/intent/src/reader/reader.ts
+++ b/packages/intent/src/reader/reader.ts
@@ -6,7 +6,7 @@
 import { createIntentWriter } from '../writer/writer.js';
 import { createFreshnessTracker } from './freshness.js';
 import { startLogFollower } from './log-follower.js';
-import { createPeerFetcher } from './peer-asker.js';
+import { createPeerFetcher } from './peer-fetcher.js';
 import type { FetchAnswer, FetchArgs, FetchReply, IntentPeer } from './peers.js';
 import { parseFetchArgs } from './peers.js';
 import { createIntentReplica } from './replica.js';
