--- a/packages/agent/src/core/upstream/headers.ts
+++ b/packages/agent/src/core/upstream/headers.ts
@@ -1,4 +1,4 @@
-import { isHopByHop, isSetAnew } from '@plantaindrum/common';
+import { isHopByHop, isSetByClient } from '@plantaindrum/common';
 
 const namedByConnection = (connection: string | undefined): Set<string> =>
   new Set((connection ?? '').split(',').map((name) => name.trim().toLowerCase()));
@@ -12,7 +12,9 @@
     ([name, value]) => [name.toLowerCase(), value] as const,
   );
   const named = namedByConnection(lower.find(([name]) => name === 'connection')?.[1]);
-  const kept = lower.filter(([name]) => !isHopByHop(name) && !isSetAnew(name) && !named.has(name));
+  const kept = lower.filter(
+    ([name]) => !isHopByHop(name) && !isSetByClient(name) && !named.has(name),
+  );
   const forwarded = Object.fromEntries(kept);
   return resumeAfter === undefined ? forwarded : { ...forwarded, 'last-event-id': resumeAfter };
 };
--- a/packages/common/src/answer-times.ts
+++ b/packages/common/src/answer-times.ts
@@ -9,17 +9,17 @@
 import type { Estimate } from './estimate.js';
 
 /** Timeouts by kind of call, in ms. */
-export interface AnswerTimes {
+export interface AdaptiveTimeouts {
   /** Timeout of the next call of this kind, in ms. */
-  limit(kind: string): number;
+  timeoutMs(kind: string): number;
   /** Records the time of a response, or of a call that was given up without one. */
-  note(kind: string, ms: number): void;
+  record(kind: string, ms: number): void;
   /** Doubles the timeout until the next recorded time; for a call that most peers did not answer. */
-  noteMostSilent(kind: string): void;
+  backOff(kind: string): void;
 }
 
 /** Bounds of the timeout of one kind of call, in ms. */
-export interface AnswerBounds {
+export interface TimeoutBounds {
   /** Timeout before the first observation. */
   first: number;
   /** Minimum; the backoff may raise the timeout above it. */
@@ -33,24 +33,26 @@
 const MAX_BACKOFF_FACTOR = 8;
 
 /** Creates the timeouts; `bounds` returns the bounds of a kind of call. */
-export const createAnswerTimes = (bounds: (kind: string) => AnswerBounds): AnswerTimes => {
+export const createAdaptiveTimeouts = (
+  bounds: (kind: string) => TimeoutBounds,
+): AdaptiveTimeouts => {
   const estimates = new Map<string, Estimate>();
   const backoffFactors = new Map<string, number>();
 
   return {
-    limit: (kind) => {
+    timeoutMs: (kind) => {
       const { first, least, most } = bounds(kind);
-      const observed = estimates.get(kind)?.usual();
+      const observed = estimates.get(kind)?.current();
       const expected = observed ? observed.mean + DEVIATION_FACTOR * observed.deviation : first;
       return Math.min(most, Math.max(least, expected) * (backoffFactors.get(kind) ?? 1));
     },
-    note: (kind, ms) => {
+    record: (kind, ms) => {
       backoffFactors.delete(kind);
       const estimate = estimates.get(kind) ?? createEstimate(EWMA_WEIGHTS);
       estimates.set(kind, estimate);
-      estimate.note(ms);
+      estimate.record(ms);
     },
-    noteMostSilent: (kind) => {
+    backOff: (kind) => {
       backoffFactors.set(kind, Math.min(MAX_BACKOFF_FACTOR, 2 * (backoffFactors.get(kind) ?? 1)));
     },
   };
--- a/packages/common/src/estimate.ts
+++ b/packages/common/src/estimate.ts
@@ -1,5 +1,5 @@
 /** Moving averages (EWMA) of a quantity and of its absolute deviation. */
-export interface Usual {
+export interface EstimateValue {
   mean: number;
   deviation: number;
 }
@@ -7,9 +7,9 @@
 /** Exponentially weighted moving average of a quantity and of its deviation. */
 export interface Estimate {
   /** Adds an observation. */
-  note(value: number): void;
+  record(value: number): void;
   /** The current averages; undefined before the first observation. */
-  usual(): Usual | undefined;
+  current(): EstimateValue | undefined;
 }
 
 /** How quickly an estimate follows its observations. */
@@ -24,9 +24,9 @@
 
 /** Creates an estimate without observations. */
 export const createEstimate = (weights: EstimateWeights): Estimate => {
-  let averages: Usual | undefined;
+  let averages: EstimateValue | undefined;
   return {
-    note: (value) => {
+    record: (value) => {
       if (!averages) {
         averages = { mean: value, deviation: value * weights.firstDeviation };
         return;
@@ -37,6 +37,6 @@
         deviation: deviation + (Math.abs(value - mean) - deviation) * weights.deviation,
       };
     },
-    usual: () => averages,
+    current: () => averages,
   };
 };
--- a/packages/common/src/event-bytes.ts
+++ b/packages/common/src/event-bytes.ts
@@ -1,11 +1,11 @@
 /** Splits a byte stream of server-sent events (WHATWG HTML, 9.2) into complete events. */
 
 /** Buffers bytes and returns the bytes of each complete event. */
-export interface EventCutter {
+export interface EventFramer {
   /** Adds bytes; returns the events that are now complete, each with its final blank line. */
   push(data: Uint8Array): Buffer[];
   /** Number of buffered bytes of the incomplete event. */
-  pending(): number;
+  pendingBytes(): number;
 }
 
 const LF = 0x0a;
@@ -21,7 +21,7 @@
 };
 
 /** Creates a framer with an empty buffer. */
-export const createEventCutter = (): EventCutter => {
+export const createEventFramer = (): EventFramer => {
   let buffered: Buffer = Buffer.alloc(0);
   return {
     push: (data) => {
@@ -35,6 +35,6 @@
       }
       return events;
     },
-    pending: () => buffered.length,
+    pendingBytes: () => buffered.length,
   };
 };
--- a/packages/common/src/http-fields.ts
+++ b/packages/common/src/http-fields.ts
@@ -18,4 +18,4 @@
 export const isHopByHop = (name: string): boolean => HOP_BY_HOP_FIELDS.has(name);
 
 /** Whether a request's header field (name in lower case) is set by the client that forwards it. */
-export const isSetAnew = (name: string): boolean => CLIENT_MANAGED_FIELDS.has(name);
+export const isSetByClient = (name: string): boolean => CLIENT_MANAGED_FIELDS.has(name);
--- a/packages/common/src/in-turns.ts
+++ b/packages/common/src/in-turns.ts
@@ -1,5 +1,5 @@
 /** Runs `run` for each item, at most `concurrency` at a time; rejects with the first rejection. */
-export const inTurns = async <T>(
+export const forEachConcurrent = async <T>(
   items: readonly T[],
   concurrency: number,
   run: (item: T) => Promise<void>,
--- a/packages/gateway/src/admission/event-timings.ts
+++ b/packages/gateway/src/admission/event-timings.ts
@@ -1,6 +1,6 @@
 /** Timing of the events of a service's streams: pauses between events, and the time to the first one. */
 
-import { createAnswerTimes } from '@plantaindrum/common';
+import { createAdaptiveTimeouts } from '@plantaindrum/common';
 import type { Clock } from '@plantaindrum/common';
 
 /** Event timings of one service, as observed on the streams through this entry. */
@@ -48,7 +48,7 @@
 export const createEventTimings = (clock: Clock): EventTimings => {
   let pauses: Sample[] = [];
   let lastEventAt = -Infinity;
-  const firstEventTimes = createAnswerTimes(() => FIRST_EVENT_TIMEOUT_MS);
+  const firstEventTimes = createAdaptiveTimeouts(() => FIRST_EVENT_TIMEOUT_MS);
 
   const recent = (samples: Sample[]): Sample[] => {
     const oldest = clock.monotonic() - WINDOW_MS;
@@ -66,10 +66,10 @@
     },
     recordFirstEvent: (ms) => {
       lastEventAt = clock.monotonic();
-      firstEventTimes.note('first', ms);
+      firstEventTimes.record('first', ms);
     },
-    recordTimeout: (ms) => firstEventTimes.note('first', ms),
-    firstEventTimeoutMs: () => firstEventTimes.limit('first'),
+    recordTimeout: (ms) => firstEventTimes.record('first', ms),
+    firstEventTimeoutMs: () => firstEventTimes.timeoutMs('first'),
     pauseQuantile: (quantile) => {
       pauses = recent(pauses);
       return quantileOf(pauses, quantile);
--- a/packages/gateway/src/streams/events.ts
+++ b/packages/gateway/src/streams/events.ts
@@ -1,6 +1,6 @@
 /** Splits an event stream (text/event-stream) into complete events and reads their ids. */
 
-import { createEventCutter } from '@plantaindrum/common';
+import { createEventFramer } from '@plantaindrum/common';
 
 /** One complete event as the upstream sent it, including the blank line that ends it. */
 export interface StreamEvent {
@@ -28,10 +28,10 @@
 
 /** Creates a splitter for one stream. */
 export const createEventSplitter = (): EventSplitter => {
-  const cutter = createEventCutter();
+  const cutter = createEventFramer();
   return {
     push: (chunk) => cutter.push(chunk).map((bytes) => ({ id: readId(bytes), bytes })),
-    pending: cutter.pending,
+    pending: cutter.pendingBytes,
   };
 };
 
--- a/packages/plantaindrum/src/core/callers/event-stream-parser.ts
+++ b/packages/plantaindrum/src/core/callers/event-stream-parser.ts
@@ -1,6 +1,6 @@
 /** Parses a stream of server-sent events. */
 
-import { createEventCutter } from '@plantaindrum/common';
+import { createEventFramer } from '@plantaindrum/common';
 
 /** One complete event, including the blank line that ends it. */
 export interface ServerSentEvent {
@@ -28,9 +28,9 @@
 
 /** Creates a parser for one stream. */
 export const createEventStreamParser = (): EventStreamParser => {
-  const cutter = createEventCutter();
+  const cutter = createEventFramer();
   return {
     push: (data) => cutter.push(data).map(parseEvent),
-    pendingBytes: cutter.pending,
+    pendingBytes: cutter.pendingBytes,
   };
 };
--- a/packages/plantaindrum/src/core/callers/headers.ts
+++ b/packages/plantaindrum/src/core/callers/headers.ts
@@ -1,7 +1,7 @@
 import type { IncomingHttpHeaders } from 'node:http';
-import { isHopByHop, isSetAnew } from '@plantaindrum/common';
+import { isHopByHop, isSetByClient } from '@plantaindrum/common';
 
-const isNotForwarded = (name: string): boolean => isHopByHop(name) || isSetAnew(name);
+const isNotForwarded = (name: string): boolean => isHopByHop(name) || isSetByClient(name);
 
 /** Fields with this prefix are set by entries only. */
 const RESERVED_PREFIX = 'x-plantaindrum-';
--- a/packages/rank-groups/src/change/arming-time.ts
+++ b/packages/rank-groups/src/change/arming-time.ts
@@ -64,14 +64,14 @@
 
   /** Expected arming time. It is below `max` in all but one of twenty cases. */
   const expected = (orderMs: number): { mean: number; max: number } => {
-    const { mean, deviation } = observed.usual() ?? { mean: INITIAL_ARMING_MS, deviation: 0 };
+    const { mean, deviation } = observed.current() ?? { mean: INITIAL_ARMING_MS, deviation: 0 };
     // A slow order shows that links or VMs have become slow before arming shows it.
     const lowerBound = Math.max(mean, ORDERS_TO_ALL * orderMs);
     return { mean: lowerBound, max: Math.max(lowerBound, mean + DEVIATIONS * deviation) };
   };
 
   return {
-    record: observed.note,
+    record: observed.record,
     passesAhead: ({ passMs, orderMs, targetMs = Infinity }) => {
       const { mean, max } = expected(orderMs);
       // Streams are already late: stalling in the earliest pass costs less than another long pass.
--- a/packages/rank-groups/src/engine-finder.ts
+++ b/packages/rank-groups/src/engine-finder.ts
@@ -1,6 +1,6 @@
 /** Finds the engine of a rank whose agent is not linked. */
 
-import { inTurns } from '@plantaindrum/common';
+import { forEachConcurrent } from '@plantaindrum/common';
 import type { Clock, EventLog } from '@plantaindrum/common';
 import type { RankEngine } from './types.js';
 
@@ -74,7 +74,7 @@
     const unknown = listed.filter(
       (entry) => !known.some(({ address }) => isSameAddress(entry, address)),
     );
-    await inTurns(unknown, MAX_CONCURRENT_READS, async (address) => {
+    await forEachConcurrent(unknown, MAX_CONCURRENT_READS, async (address) => {
       const engine = open(address.host, address.port);
       const report = await engine.report();
       const key = report && keyOf(report.group, report.epoch, report.rank);
--- a/packages/rank-groups/src/tree/rank-port.ts
+++ b/packages/rank-groups/src/tree/rank-port.ts
@@ -4,7 +4,7 @@
  */
 
 import type { Clock, EventLog, Metrics } from '@plantaindrum/common';
-import { createAnswerTimes, inTurns, sleep } from '@plantaindrum/common';
+import { createAdaptiveTimeouts, forEachConcurrent, sleep } from '@plantaindrum/common';
 import type { Link } from '@plantaindrum/link';
 import type { PeerPush } from '@plantaindrum/mirror';
 import { RETRY_DELAY_MS, allRanks } from '../change/group-port.js';
@@ -126,19 +126,19 @@
     least: FULL_MAP_TIMEOUT_MS,
     most: MAX_TIMEOUT_MS,
   };
-  const directTimes = createAnswerTimes((kind) =>
+  const directTimes = createAdaptiveTimeouts((kind) =>
     kind === FULL_MAP_KIND
       ? fullMapBounds
       : { first: MIN_DIRECT_TIMEOUT_MS, least: MIN_DIRECT_TIMEOUT_MS, most: MAX_TIMEOUT_MS },
   );
-  const relayedTimes = createAnswerTimes((kind) =>
+  const relayedTimes = createAdaptiveTimeouts((kind) =>
     kind === FULL_MAP_KIND
       ? fullMapBounds
       : { first: INITIAL_RELAYED_TIMEOUT_MS, least: MIN_RELAYED_TIMEOUT_MS, most: MAX_TIMEOUT_MS },
   );
 
   const answerTimesFor = (ranks: number) => (ranks > MAX_DIRECT_RANKS ? relayedTimes : directTimes);
-  const timeoutFor = (kind: string, ranks: number): number => answerTimesFor(ranks).limit(kind);
+  const timeoutFor = (kind: string, ranks: number): number => answerTimesFor(ranks).timeoutMs(kind);
 
   const routesFor = (wanted: ReadonlySet<number>): Route[] => {
     const own = ownRank();
@@ -182,12 +182,12 @@
     const startedAt = clock.monotonic();
     const wanted = new Set(ranks.filter((rank) => rank !== own && isLinked(rank)));
     const times = answerTimesFor(wanted.size);
-    const timeoutMs = fixedTimeoutMs ?? times.limit(kind);
+    const timeoutMs = fixedTimeoutMs ?? times.timeoutMs(kind);
     const ownPart =
       own !== undefined && ranks.includes(own) ? methods[method].run(args, timeoutMs) : undefined;
     const first = await callLinked(method, args, wanted, timeoutMs);
-    if (first.unanswered.length === 0) times.note(kind, clock.monotonic() - startedAt);
-    else if (2 * first.unanswered.length > wanted.size) times.noteMostSilent(kind);
+    if (first.unanswered.length === 0) times.record(kind, clock.monotonic() - startedAt);
+    else if (2 * first.unanswered.length > wanted.size) times.backOff(kind);
     const parts = [first.answer];
     const unreached = first.unanswered.filter((rank) => !first.silentRanks.includes(rank));
     if (unreached.length > 0 && method !== 'news') {
@@ -237,10 +237,14 @@
 
   const orders: GroupPort['orders'] = async (ranks, order) => {
     const outcomes = new Map<number, OrderOutcome>();
-    const atEngines = inTurns(unlinked(ranks), MAX_CONCURRENT_ENGINE_CALLS, async (rank) => {
-      const outcome = await (await findEngine(rank))?.order(order);
-      if (outcome) outcomes.set(rank, outcome);
-    });
+    const atEngines = forEachConcurrent(
+      unlinked(ranks),
+      MAX_CONCURRENT_ENGINE_CALLS,
+      async (rank) => {
+        const outcome = await (await findEngine(rank))?.order(order);
+        if (outcome) outcomes.set(rank, outcome);
+      },
+    );
     if (order.op === 'prepare') await prepare(ranks, order, outcomes);
     else addOutcomes(await callRanks('order', order, ranks), outcomes);
     await atEngines;
@@ -249,10 +253,14 @@
 
   const reports: GroupPort['reports'] = async (ranks) => {
     const found: RankReport[] = [];
-    const atEngines = inTurns(unlinked(ranks), MAX_CONCURRENT_ENGINE_CALLS, async (rank) => {
-      const report = await (await findEngine(rank))?.report();
-      if (report) found.push(report);
-    });
+    const atEngines = forEachConcurrent(
+      unlinked(ranks),
+      MAX_CONCURRENT_ENGINE_CALLS,
+      async (rank) => {
+        const report = await (await findEngine(rank))?.report();
+        if (report) found.push(report);
+      },
+    );
     const answer = await callRanks('report', {}, ranks);
     await atEngines;
     return [...answer, ...found];
@@ -301,10 +309,14 @@
     },
     placements: async (ranks) => {
       const held = new Map<number, RankPlacement>();
-      const atEngines = inTurns(unlinked(ranks), MAX_CONCURRENT_ENGINE_CALLS, async (rank) => {
-        const found = await (await findEngine(rank))?.placement();
-        if (found) held.set(rank, found);
-      });
+      const atEngines = forEachConcurrent(
+        unlinked(ranks),
+        MAX_CONCURRENT_ENGINE_CALLS,
+        async (rank) => {
+          const found = await (await findEngine(rank))?.placement();
+          if (found) held.set(rank, found);
+        },
+      );
       const answer = await callRanks('placement', {}, ranks);
       answer.forEach((entry) => held.set(entry.rank, entry.held));
       await atEngines;
