--- a/packages/intent/test/spread.test.ts
+++ b/packages/intent/test/spread.test.ts
@@ -152,7 +152,7 @@
     b.faults.down = true;
     await setLive(a, 200);
     await fleet.run(20_000);
-    fleet.log.faults.slowMs = 3_000;
+    fleet.log.faults.responseDelayMs = 3_000;
     const c = fleet.start('c');
     fleet.link(c, b);
     await fleet.run(2_500);
--- a/packages/intent/test/submit.test.ts
+++ b/packages/intent/test/submit.test.ts
@@ -85,7 +85,7 @@
   });
 
   it('looks up the outcome before it appends again, also when reads are slow', async () => {
-    a.faults.slowReadMs = 1_000;
+    a.faults.readDelayMs = 1_000;
     a.faults.appends.push('lost-answer');
     const outcome = await submitAt(fleet, a, 'id-1', changeClass('live', -1, 800));
     expect(outcome).to.deep.equal({ outcome: 'accepted', version: 0 });
--- a/packages/lab/src/bench/request-cost.ts
+++ b/packages/lab/src/bench/request-cost.ts
@@ -3,9 +3,9 @@
 import { setTimeout as delay } from 'node:timers/promises';
 import { createSeededRandom } from '@plantaindrum/common';
 import { startChild } from '../harness/child.js';
-import { usedMs } from '../harness/used-time.js';
+import { readCpuTimeMs } from '../harness/used-time.js';
 import { startCallers } from '../soak/callers.js';
-import { SOAK_PORTS, startWorld } from '../soak/world.js';
+import { SOAK_PORTS, startSoakSite } from '../soak/world.js';
 import type { Vm } from '../soak/world.js';
 import type { UnitCost } from './unit-costs.js';
 
@@ -47,14 +47,14 @@
   sendCall: () => Promise<{ status: number }>,
 ): Promise<number> => {
   await sendCalls(WARM_UP_REQUESTS, sendCall);
-  const before = await usedMs(pid);
+  const before = await readCpuTimeMs(pid);
   await sendCalls(MEASURED_REQUESTS, sendCall);
-  return ((await usedMs(pid)) - before) / MEASURED_REQUESTS;
+  return ((await readCpuTimeMs(pid)) - before) / MEASURED_REQUESTS;
 };
 
 /** Sends the same requests through an entry and through the pass-through. */
 export const measureRequestCost = async (seed: number): Promise<UnitCost> => {
-  const site = await startWorld(SIZE);
+  const site = await startSoakSite(SIZE);
   const [entry] = site.vms;
   if (!entry) throw new Error('no entry');
   const passIp = entry.ip.replace(/\d+$/, '200');
--- a/packages/lab/src/cli/demo/summary.ts
+++ b/packages/lab/src/cli/demo/summary.ts
@@ -62,7 +62,7 @@
 
 const classCounts = (calls: LoadCall[]): ClassCounts => {
   const answered = calls.filter((call) => call.result.outcome === 'answered');
-  const times = answered.map((call) => call.result.wholeMs);
+  const times = answered.map((call) => call.result.totalMs);
   return {
     sent: calls.length,
     answered: answered.length,
--- a/packages/lab/src/emulator/day.ts
+++ b/packages/lab/src/emulator/day.ts
@@ -49,7 +49,7 @@
 };
 
 /** Emulates a day; the same specification gives the same figures. */
-export const playDay = async (spec: DaySpec): Promise<DayFigures> => {
+export const emulateDay = async (spec: DaySpec): Promise<DayFigures> => {
   const clock = createManualClock();
   const random = createSeededRandom(spec.seed);
   const { sets, experts } = spec.content;
--- a/packages/lab/src/emulator/engine-group.ts
+++ b/packages/lab/src/emulator/engine-group.ts
@@ -1,7 +1,7 @@
 /** Emulates a group of engines that start each pass together, with the pass times of the users' protocol. */
 
 import type { OrderOutcome, Placement, RankOrder } from '@plantaindrum/rank-groups';
-import { judgeRankOrder } from '@plantaindrum/stand-ins';
+import { evaluateRankOrder } from '@plantaindrum/stand-ins';
 import type { EngineGroup, EngineGroupOptions, EngineRequest } from './engine-types.js';
 import { computePassMs } from './pass-time.js';
 import type { RankWork } from './pass-time.js';
@@ -204,7 +204,7 @@
     if (!rank) return 'refused';
     const prepared = rank.prepared?.version;
     const state = { ...rank, epoch: EPOCH, step, prepared, isCopied: isCopied(rank) };
-    const { outcome, change } = judgeRankOrder(state, rankOrder);
+    const { outcome, change } = evaluateRankOrder(state, rankOrder);
     // `change` holds only the version of the prepared map; the rank also keeps its placement and time.
     Object.assign(rank, change, { prepared: rank.prepared });
     if (outcome === 'begun' && rankOrder.op === 'prepare') {
--- a/packages/lab/src/emulator/policies.ts
+++ b/packages/lab/src/emulator/policies.ts
@@ -17,7 +17,7 @@
 const noop = (): void => {};
 
 /** The real admission control: its limit adapts to the pauses between the events of streams. */
-export const followPace = ({ clock, passTimes }: AdmissionTools): AdmissionPolicy => {
+export const adaptiveLimit = ({ clock, passTimes }: AdmissionTools): AdmissionPolicy => {
   const admission = createAdmission(clock, silentEventLog);
   return {
     admit: ({ isReturn }, upstreams) => {
--- a/packages/lab/src/emulator/sites.ts
+++ b/packages/lab/src/emulator/sites.ts
@@ -1,7 +1,7 @@
 /** Days that model the users' groups, with figures from their specifications. */
 
 import type { DaySpec } from './day-types.js';
-import { followPace } from './policies.js';
+import { adaptiveLimit } from './policies.js';
 
 const MS = 1_000;
 const BITS_PER_BYTE = 8;
@@ -38,7 +38,7 @@
   // Moves 22% of the expert selections to other experts, by the counts of an emulated day.
   shiftShare: 0.45,
   weighs: 'skew',
-  policy: followPace,
+  policy: adaptiveLimit,
 };
 
 /** A group of 12 ranks with more experts and slots, under the traffic of a busy day. */
--- a/packages/lab/src/experiments/ablation.ts
+++ b/packages/lab/src/experiments/ablation.ts
@@ -1,6 +1,6 @@
 /** What each mechanism is worth: days on an emulated group, each with one of them switched off. */
 
-import { playDay } from '../emulator/day.js';
+import { emulateDay } from '../emulator/day.js';
 import type { DayFigures, DaySpec } from '../emulator/day-types.js';
 import { fixedCap } from '../emulator/policies.js';
 import { denseGroupDay } from '../emulator/sites.js';
@@ -68,7 +68,7 @@
       const played: DayFigures[] = [];
       for (let n = 0; n < (quick ? 1 : SEEDS); n += 1) {
         played.push(
-          await playDay({ ...denseGroupDay, lengthMs, ...day, ...change, seed: seed + n }),
+          await emulateDay({ ...denseGroupDay, lengthMs, ...day, ...change, seed: seed + n }),
         );
       }
       figures[`${dayName}/${name}`] = played;
--- a/packages/lab/src/experiments/admission.ts
+++ b/packages/lab/src/experiments/admission.ts
@@ -1,13 +1,13 @@
 /** How many streams to have in flight: a fixed cap, the measured pace, or a budget of tokens. */
 
-import { playDay } from '../emulator/day.js';
+import { emulateDay } from '../emulator/day.js';
 import type {
   AdmissionPolicy,
   AdmissionTools,
   DayFigures,
   DaySpec,
 } from '../emulator/day-types.js';
-import { fixedCap, followPace, tokenBudget } from '../emulator/policies.js';
+import { fixedCap, adaptiveLimit, tokenBudget } from '../emulator/policies.js';
 import { smallGroupDay } from '../emulator/sites.js';
 import type { ExperimentOptions } from './table.js';
 
@@ -19,7 +19,7 @@
   ['half of the slots', fixedCap(0.5)],
   ['three quarters of the slots', fixedCap(0.75)],
   ['all slots', fixedCap(1)],
-  ['the measured pace', followPace],
+  ['the measured pace', adaptiveLimit],
   ['1,200 tokens a slot', tokenBudget(1_200)],
   ['2,400 tokens a slot', tokenBudget(2_400)],
 ];
@@ -48,7 +48,7 @@
     print(dayName);
     for (const [name, policy] of policies) {
       const lengthMs = quick ? QUICK_MS : smallGroupDay.lengthMs;
-      const played = await playDay({ ...smallGroupDay, ...change, policy, lengthMs, seed });
+      const played = await emulateDay({ ...smallGroupDay, ...change, policy, lengthMs, seed });
       figures[`${dayName}/${name}`] = played;
       print(line(name, played));
     }
--- a/packages/lab/src/experiments/drain-site.ts
+++ b/packages/lab/src/experiments/drain-site.ts
@@ -7,7 +7,7 @@
 import { repositoryRoot } from '../harness/child.js';
 import type { Load, LoadCall } from '../harness/load.js';
 import { startLoad } from '../harness/load.js';
-import { OPERATORS_TOKEN, readIntentFile } from '../harness/operators.js';
+import { OPERATOR_TOKEN, readIntentFile } from '../harness/operators.js';
 import { startSite } from '../harness/site.js';
 import type { Site, SiteEntry, SiteSpec } from '../harness/site-types.js';
 import type { TrafficKind } from '../harness/traffic.js';
@@ -195,7 +195,7 @@
 
 const inFlight = async (site: Site, dataCentre: string): Promise<NodeInFlight[]> => {
   const door = site.entry(1).process.ready.operators;
-  const headers = { authorization: `Bearer ${OPERATORS_TOKEN}` };
+  const headers = { authorization: `Bearer ${OPERATOR_TOKEN}` };
   const res = await request(`${door}/nodes?data-centre=${dataCentre}`, { headers });
   return (await res.body.json()) as NodeInFlight[];
 };
--- a/packages/lab/src/experiments/faults/calls.ts
+++ b/packages/lab/src/experiments/faults/calls.ts
@@ -54,7 +54,7 @@
   { ...streamOf(spec, 'orchard-cars', 'lot-draft', 3), work: completion(true, [200, 400]) },
   {
     ...streamOf(spec, 'rainier-remarketing', 'bid-sheet-export', 15),
-    twiceShare: 0.3,
+    duplicateShare: 0.3,
     work: { kind: 'service', path: '/exports', keyed: true },
   },
   {
@@ -63,7 +63,7 @@
   },
   {
     ...streamOf(spec, 'cedar-river-autos', 'title-check', 8),
-    twiceShare: 0.3,
+    duplicateShare: 0.3,
     work: { kind: 'service', path: '/title-checks', keyed: true },
   },
 ];
--- a/packages/lab/src/experiments/faults/changes.ts
+++ b/packages/lab/src/experiments/faults/changes.ts
@@ -4,7 +4,7 @@
 import type { Random } from '@plantaindrum/common';
 import type { IntentKey, IntentView, SubmitOutcome } from '@plantaindrum/intent';
 import { request } from 'undici';
-import { OPERATORS_TOKEN } from '../../harness/operators.js';
+import { OPERATOR_TOKEN } from '../../harness/operators.js';
 import type { Site } from '../../harness/site-types.js';
 import { until } from '../../harness/until.js';
 
@@ -36,7 +36,7 @@
 const READ_WITHIN_MS = 1_000;
 const AGREED_WITHIN_MS = 15_000;
 
-const headers = { authorization: `Bearer ${OPERATORS_TOKEN}`, 'content-type': 'application/json' };
+const headers = { authorization: `Bearer ${OPERATOR_TOKEN}`, 'content-type': 'application/json' };
 
 const readIntent = async (door: string): Promise<IntentView | undefined> => {
   try {
--- a/packages/lab/src/experiments/overload-processes.ts
+++ b/packages/lab/src/experiments/overload-processes.ts
@@ -67,7 +67,7 @@
   class: 'bid-sheet-export',
   perSecond: EXPORTS_PER_SECOND,
   targetMs: spec.intent.classes['bid-sheet-export']?.latestAnswerMs ?? 0,
-  twiceShare: 0.2,
+  duplicateShare: 0.2,
   work: { kind: 'service', path: '/exports', keyed: true },
 });
 
--- a/packages/lab/src/experiments/path.ts
+++ b/packages/lab/src/experiments/path.ts
@@ -44,7 +44,7 @@
 
 /** Milliseconds from the call to its whole answer. */
 const wholeAnswer = async (spec: CallSpec): Promise<number> =>
-  expectAnswer(await call(spec)).wholeMs;
+  expectAnswer(await call(spec)).totalMs;
 
 /** Milliseconds from the call to its first token; headers alone are no answer. */
 const firstToken = async (spec: CallSpec): Promise<number> => {
--- a/packages/lab/src/experiments/processor-time.ts
+++ b/packages/lab/src/experiments/processor-time.ts
@@ -8,10 +8,10 @@
 import { join } from 'node:path';
 import { setTimeout as delay } from 'node:timers/promises';
 import { createSeededRandom } from '@plantaindrum/common';
-import { usedMs } from '../harness/used-time.js';
+import { readCpuTimeMs } from '../harness/used-time.js';
 import { startCallers } from '../soak/callers.js';
-import { startWorld } from '../soak/world.js';
-import type { Vm, WorldSize } from '../soak/world.js';
+import { startSoakSite } from '../soak/world.js';
+import type { Vm, SoakSiteSize } from '../soak/world.js';
 import { CAUSES, readProfile, timeByCause } from './processor-time/profile.js';
 import type { Cause, ProfileSpan } from './processor-time/profile.js';
 import type { ExperimentOptions } from './table.js';
@@ -31,19 +31,19 @@
 }
 
 interface Load {
-  size: WorldSize;
+  size: SoakSiteSize;
   callsPerS: number;
   lengthMs: number;
 }
 
 const LOADS: Readonly<Record<'whole' | 'quick', Load>> = {
   whole: {
-    size: { entries: 13, ranks: 63, books: 4, sets: 8, experts: 252, passMs: 25 },
+    size: { entries: 13, ranks: 63, plainServers: 4, sets: 8, experts: 252, passMs: 25 },
     callsPerS: 180,
     lengthMs: 20_000,
   },
   quick: {
-    size: { entries: 4, ranks: 16, books: 3, sets: 4, experts: 64, passMs: 25 },
+    size: { entries: 4, ranks: 16, plainServers: 3, sets: 4, experts: 64, passMs: 25 },
     callsPerS: 50,
     lengthMs: 5_000,
   },
@@ -78,11 +78,11 @@
     '--cpu-prof',
     `--cpu-prof-dir=${join(folder, vm.role)}`,
   ];
-  const world = await startWorld(load.size, profileArgs);
+  const world = await startSoakSite(load.size, profileArgs);
   try {
     await delay(SETTLE_MS);
     const usedByAll = (): Promise<number[]> =>
-      Promise.all(world.vms.map(({ child }) => usedMs(child.pid)));
+      Promise.all(world.vms.map(({ child }) => readCpuTimeMs(child.pid)));
     const usedBefore = await usedByAll();
     const beganAt = performance.now();
     const callers = startCallers(world, createSeededRandom(seed), load.callsPerS, ['key-a']);
--- a/packages/lab/src/experiments/rank-balance.ts
+++ b/packages/lab/src/experiments/rank-balance.ts
@@ -1,6 +1,6 @@
 /** The change of map on an emulated group: what each word of the operator brings and costs. */
 
-import { playDay } from '../emulator/day.js';
+import { emulateDay } from '../emulator/day.js';
 import type { DayFigures, DaySpec } from '../emulator/day-types.js';
 import { largeGroupDay, smallGroupDay } from '../emulator/sites.js';
 import type { ExperimentOptions } from './table.js';
@@ -34,7 +34,7 @@
     print(`${group} group, ${day.ranks} ranks`);
     for (const [name, change] of variants) {
       const lengthMs = quick ? QUICK_MS : day.lengthMs;
-      const played = await playDay({ ...day, ...change, lengthMs, seed });
+      const played = await emulateDay({ ...day, ...change, lengthMs, seed });
       figures[`${group}/${name}`] = played;
       print(line(name, played));
     }
--- a/packages/lab/src/experiments/rate-limit.ts
+++ b/packages/lab/src/experiments/rate-limit.ts
@@ -8,7 +8,7 @@
 import type { ManualClock, Random } from '@plantaindrum/common';
 import { createRateLimit } from '@plantaindrum/gateway';
 import type { RateLimit } from '@plantaindrum/gateway';
-import { mostInWindow } from '@plantaindrum/stand-ins';
+import { maxInWindow } from '@plantaindrum/stand-ins';
 import type { ExperimentOptions } from './table.js';
 
 /** How entries keep the limit. */
@@ -88,7 +88,7 @@
     way,
     fleet: fleet.name,
     perSecond,
-    mostInWindow: mostInWindow(sentAt, ALLOWED.windowMs),
+    mostInWindow: maxInWindow(sentAt, ALLOWED.windowMs),
     allowed: (times * perSecond * windowMs) / MS_PER_S + more,
     sent: sentAt.length,
     due: (perSecond * lengthMs) / MS_PER_S,
--- a/packages/lab/src/harness/caller.ts
+++ b/packages/lab/src/harness/caller.ts
@@ -31,7 +31,7 @@
   /** SSE data lines of a streamed response. */
   events: string[];
   firstByteMs: number;
-  wholeMs: number;
+  totalMs: number;
 }
 
 interface RefusalBody {
@@ -148,7 +148,7 @@
     body: '',
     events: [],
     firstByteMs: 0,
-    wholeMs: 0,
+    totalMs: 0,
   };
   try {
     const res = await request(new URL(spec.path, spec.url), {
@@ -162,8 +162,8 @@
     result.headers = res.headers;
     result.firstByteMs = performance.now() - startedAt;
     const done = await readResponse(res, result, spec.onEvent);
-    return { ...done, wholeMs: performance.now() - startedAt };
+    return { ...done, totalMs: performance.now() - startedAt };
   } catch {
-    return { ...result, wholeMs: performance.now() - startedAt };
+    return { ...result, totalMs: performance.now() - startedAt };
   }
 };
--- a/packages/lab/src/harness/node-processes.ts
+++ b/packages/lab/src/harness/node-processes.ts
@@ -1,5 +1,5 @@
 import type { Child, ChildSpec } from './child.js';
-import { createOperatorClient, OPERATORS_TOKEN } from './operators.js';
+import { createOperatorClient, OPERATOR_TOKEN } from './operators.js';
 import type { SettingsFolder } from './settings-folder.js';
 import type {
   AgentReady,
@@ -26,7 +26,7 @@
 const ENTRY_SCRIPT = 'packages/plantaindrum/bin/plantaindrum.js';
 const AGENT_SCRIPT = 'packages/agent/bin/plantaindrum-agent.js';
 const ANY_PORT = { host: '127.0.0.1', port: 0 };
-const OPERATOR_SERVER = { ...ANY_PORT, token: OPERATORS_TOKEN };
+const OPERATOR_SERVER = { ...ANY_PORT, token: OPERATOR_TOKEN };
 
 /** Creates the `NodeProcesses` of a site. */
 export const createNodeProcesses = (
--- a/packages/lab/src/harness/operators.ts
+++ b/packages/lab/src/harness/operators.ts
@@ -12,7 +12,7 @@
 import { request } from 'undici';
 
 /** Token of every operator server that the lab starts. */
-export const OPERATORS_TOKEN = 'lab-operators-token';
+export const OPERATOR_TOKEN = 'lab-operators-token';
 
 /** The fields of an entry's status that the lab reads. */
 export interface EntryStatusView {
@@ -39,7 +39,7 @@
   change(changes: IntentChange[], author?: string): Promise<SubmitOutcome>;
 }
 
-const headers = { authorization: `Bearer ${OPERATORS_TOKEN}`, 'content-type': 'application/json' };
+const headers = { authorization: `Bearer ${OPERATOR_TOKEN}`, 'content-type': 'application/json' };
 
 const matchesSeries = (line: string, name: string, labels: Record<string, string>): boolean =>
   (line.startsWith(`${name}{`) || line.startsWith(`${name} `)) &&
@@ -93,7 +93,7 @@
 };
 
 /** Changes that declare a full document on an empty log. */
-export const changesOf = (document: IntentDocument): IntentChange[] =>
+export const toInitialChanges = (document: IntentDocument): IntentChange[] =>
   Object.entries(document).flatMap(([section, values]) =>
     Object.entries(values).map(([name, value]) => ({
       key: `${section}/${name}` as IntentKey,
--- a/packages/lab/src/harness/site.ts
+++ b/packages/lab/src/harness/site.ts
@@ -3,7 +3,7 @@
 import { startChild } from './child.js';
 import type { NodeProcesses, StartChild } from './node-processes.js';
 import { createNodeProcesses } from './node-processes.js';
-import { changesOf } from './operators.js';
+import { toInitialChanges } from './operators.js';
 import type { SettingsFolder } from './settings-folder.js';
 import { createSettingsFolder } from './settings-folder.js';
 import type {
@@ -125,7 +125,7 @@
 };
 
 /** Whether an entry is ready and linked to every upstream of the site. */
-export const entryServes = async (site: Site, entry: SiteEntry): Promise<boolean> => {
+export const isEntryServing = async (site: Site, entry: SiteEntry): Promise<boolean> => {
   if (!(await entry.operators.ready())) return false;
   const { upstreams } = await entry.operators.status();
   const linked = new Set(upstreams.filter((line) => line.linked).map((line) => line.name));
@@ -134,10 +134,10 @@
 
 /** Declares the intent at one entry and waits until every entry serves. */
 const declareIntent = async (site: Site, intent: IntentDocument): Promise<void> => {
-  const result = await site.entry(0).operators.change(changesOf(intent));
+  const result = await site.entry(0).operators.change(toInitialChanges(intent));
   if (result.outcome !== 'accepted') throw new Error(`intent refused: ${JSON.stringify(result)}`);
   const serving = site.entries.map((entry) =>
-    until(`${entry.name} serves`, () => entryServes(site, entry), READY_TIMEOUT_MS),
+    until(`${entry.name} serves`, () => isEntryServing(site, entry), READY_TIMEOUT_MS),
   );
   await Promise.all(serving);
 };
--- a/packages/lab/src/harness/used-time.ts
+++ b/packages/lab/src/harness/used-time.ts
@@ -9,7 +9,7 @@
 const KERNEL_TIME_FIELD = 12;
 
 /** User and kernel time that a process has used, in ms, with a resolution of 10 ms. */
-export const usedMs = async (pid: number): Promise<number> => {
+export const readCpuTimeMs = async (pid: number): Promise<number> => {
   const stat = await readFile(`/proc/${pid}/stat`, 'utf8');
   const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
   return (Number(fields[USER_TIME_FIELD]) + Number(fields[KERNEL_TIME_FIELD])) * TICK_MS;
--- a/packages/lab/src/soak/callers.ts
+++ b/packages/lab/src/soak/callers.ts
@@ -2,7 +2,7 @@
 
 import { request } from 'node:http';
 import type { Random } from '@plantaindrum/common';
-import { callerHeaders, hasReceipt } from '@plantaindrum/stand-ins';
+import { callerHeaders, hasServerStamp } from '@plantaindrum/stand-ins';
 import { SOAK_PORTS } from './world.js';
 import type { Vm, SoakSite } from './world.js';
 
@@ -57,7 +57,7 @@
       res.on('close', () =>
         end({
           status: res.statusCode ?? 0,
-          hasReceipt: hasReceipt(res.headers),
+          hasReceipt: hasServerStamp(res.headers),
           body: Buffer.concat(chunks).toString(),
           isWhole: res.complete,
           isConnected: true,
--- a/packages/lab/src/soak/checks.ts
+++ b/packages/lab/src/soak/checks.ts
@@ -76,11 +76,11 @@
 ): Violation[] => {
   const runs = new Map<string, number>();
   site.servers
-    .flatMap(({ ran }) => ran)
+    .flatMap(({ executedIds: ran }) => ran)
     .forEach((id) => {
       runs.set(id, (runs.get(id) ?? 0) + 1);
     });
-  const mixedPasses = site.group.mixed();
+  const mixedPasses = site.group.mixedPasses();
   return [
     ...calls.flatMap((call) => findAnswerViolations(call, runs.get(call.id) ?? 0)),
     ...findCallsCutByStop(calls, faults),
--- a/packages/lab/src/soak/faults.ts
+++ b/packages/lab/src/soak/faults.ts
@@ -82,7 +82,7 @@
 const injectStoreFault = async (site: SoakSite, random: Random): Promise<string> => {
   if (random() < RESTORE_PROBABILITY) return restoreStore(site, random);
   if (random() < 0.25) {
-    site.store.forgetHistory();
+    site.store.compact();
     return 'history-forgotten';
   }
   const mode = STORE_MODES[Math.floor(random() * STORE_MODES.length)] ?? 'busy';
--- a/packages/lab/src/soak/limit-check.ts
+++ b/packages/lab/src/soak/limit-check.ts
@@ -1,6 +1,6 @@
 /** Checks that an upstream's rate limit holds for all entries together, by the requests it received. */
 
-import { mostInWindow } from '@plantaindrum/stand-ins';
+import { maxInWindow } from '@plantaindrum/stand-ins';
 import type { SoakCall } from './callers.js';
 import type { Violation } from './checks.js';
 import type { InjectedFault } from './faults.js';
@@ -44,7 +44,7 @@
       (arrival) => arrival.at >= advertisedAt + LIMIT_GRACE_MS && !mayHaveForgottenLimit(arrival),
     )
     .map(({ at }) => at);
-  const maxRequests = mostInWindow(countedTimes, WINDOW_MS);
+  const maxRequests = maxInWindow(countedTimes, WINDOW_MS);
   const allowed = (TOLERANCE.factor * limitPerS * WINDOW_MS) / MS_PER_S + TOLERANCE.extra;
   if (maxRequests <= allowed) return [];
   const details = `${maxRequests} requests in ${WINDOW_MS} ms, ${limitPerS} a second advertised; ${allowed} allowed`;
--- a/packages/lab/src/soak/soak.ts
+++ b/packages/lab/src/soak/soak.ts
@@ -8,7 +8,7 @@
 import type { Violation } from './checks.js';
 import { startFaults } from './faults.js';
 import { findLimitViolations } from './limit-check.js';
-import { startWorld } from './world.js';
+import { startSoakSite } from './world.js';
 import type { SoakSite } from './world.js';
 
 /** Options of `runSoak`. */
@@ -73,7 +73,7 @@
 /** Runs one soak. */
 export const runSoak = async (options: SoakOptions): Promise<SoakResult> => {
   const { seed, lengthMs, print } = options;
-  const site = await startWorld();
+  const site = await startSoakSite();
   try {
     await delay(STARTUP_MS);
     const keys = [KEPT_KEY, REVOKED_KEY];
--- a/packages/lab/src/soak/world.ts
+++ b/packages/lab/src/soak/world.ts
@@ -49,21 +49,21 @@
 export const SOAK_PORTS = { callers: 19_227, readiness: 19_220, links: 19_340, engine: 19_228 };
 
 /** Size of a soak site. */
-export interface WorldSize {
+export interface SoakSiteSize {
   entries: number;
   /** Ranks of the one expert group, each with an agent. */
   ranks: number;
   /** Plain servers. */
-  books: number;
+  plainServers: number;
   sets: number;
   experts: number;
   passMs: number;
 }
 
-const DEFAULT_SIZE: WorldSize = {
+const DEFAULT_SIZE: SoakSiteSize = {
   entries: 2,
   ranks: 4,
-  books: 2,
+  plainServers: 2,
   sets: 2,
   experts: 12,
   passMs: 25,
@@ -81,11 +81,11 @@
 const serverIp = (at: number): string => `${addressPrefix}.3.${at + 1}`;
 
 /** Starts a soak site; resolves when every process runs, which is before all are linked. */
-export const startWorld = async (
-  size: WorldSize = DEFAULT_SIZE,
+export const startSoakSite = async (
+  size: SoakSiteSize = DEFAULT_SIZE,
   nodeArgsOf: (vm: Pick<Vm, 'role'>) => string[] = () => [],
 ): Promise<SoakSite> => {
-  const { entries, ranks, books, sets, experts, passMs } = size;
+  const { entries, ranks, plainServers: books, sets, experts, passMs } = size;
   const folder = await mkdtemp(join(tmpdir(), 'plantaindrum-soak-'));
   const store = await startStoreStandIn();
   const serverRecordWriters: (() => void)[] = [];
@@ -98,7 +98,7 @@
       at % experts === popularExpert ? 6_000 : 300,
     );
   };
-  const group = createGroup({ size: ranks, sets, experts, picks: nextSelectionCounts });
+  const group = createGroup({ size: ranks, sets, experts, selectionCounts: nextSelectionCounts });
   const startServer = async (instance: string, service: string, ip: string, rank?: number) => {
     const listen = { host: ip, port: SOAK_PORTS.engine };
     const rankPosition = rank === undefined ? undefined : { group, rank };
--- a/packages/lab/test/emulator.test.ts
+++ b/packages/lab/test/emulator.test.ts
@@ -1,12 +1,12 @@
 import { expect } from 'chai';
-import { playDay } from '../src/emulator/day.js';
+import { emulateDay } from '../src/emulator/day.js';
 import type { DayFigures, DaySpec } from '../src/emulator/day-types.js';
 import { smallGroupDay } from '../src/emulator/sites.js';
 
 const SHORT_MS = 5_000;
 
 const play = (change: Partial<DaySpec> = {}): Promise<DayFigures> =>
-  playDay({ ...smallGroupDay, lengthMs: SHORT_MS, seed: 4, ...change });
+  emulateDay({ ...smallGroupDay, lengthMs: SHORT_MS, seed: 4, ...change });
 
 describe('an emulated day of a group', () => {
   it('gives the same figures for the same specification', async () => {
--- a/packages/lab/test/failures/replacement.test.ts
+++ b/packages/lab/test/failures/replacement.test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'chai';
 import type { CallResult } from '../../src/harness/caller.js';
 import { startLoad } from '../../src/harness/load.js';
-import { entryServes } from '../../src/harness/site.js';
+import { isEntryServing } from '../../src/harness/site.js';
 import { smallSite } from '../../src/harness/small-site.js';
 import { until } from '../../src/harness/until.js';
 import { releaseTraffic } from '../../src/harness/workloads.js';
@@ -40,14 +40,14 @@
       await site().restartAgent(name);
       await site().publish();
       await until(`${name} is back`, async () => {
-        const serving = await Promise.all(running().map((entry) => entryServes(site(), entry)));
+        const serving = await Promise.all(running().map((entry) => isEntryServing(site(), entry)));
         return serving.every(Boolean);
       });
     }
     for (const [index, old] of site().entries.slice(0, 2).entries()) {
       await change(2_000 + index);
       const replacement = await site().startEntry({ ...old, name: `${old.name}-new` });
-      await until('the new entry serves', () => entryServes(site(), replacement), 20_000);
+      await until('the new entry serves', () => isEntryServing(site(), replacement), 20_000);
       stopped.push(old.name);
       await old.process.stop(15_000);
     }
--- a/packages/lab/test/late-streams.test.ts
+++ b/packages/lab/test/late-streams.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { playDay } from '../src/emulator/day.js';
+import { emulateDay } from '../src/emulator/day.js';
 import { largeGroupDay } from '../src/emulator/sites.js';
 
 /** Share of streams whose pauses are as short as callers want them, by the users' aim. */
@@ -14,7 +14,7 @@
   [60, 120].forEach((orderMs) => {
     it(`come on time where an order takes ${orderMs} ms`, async () => {
       const day = { ...largeGroupDay, lengthMs: 12_000, seed: 1, orderMs };
-      const { onTime, streams, mixedPasses } = await playDay(day);
+      const { onTime, streams, mixedPasses } = await emulateDay(day);
       expect(onTime / streams).to.be.at.least(AIMED_SHARE);
       expect(mixedPasses).to.equal(0);
     });
--- a/packages/rank-groups/test/fakes/fake-ranks.ts
+++ b/packages/rank-groups/test/fakes/fake-ranks.ts
@@ -4,7 +4,7 @@
 
 import { sleep } from '@plantaindrum/common';
 import type { ManualClock } from '@plantaindrum/common';
-import { judgeRankOrder } from '@plantaindrum/stand-ins';
+import { evaluateRankOrder } from '@plantaindrum/stand-ins';
 import { createGroupPort } from '../../src/index.js';
 import type {
   GroupPort,
@@ -76,7 +76,7 @@
   const apply = (at: number, order: RankOrder): OrderOutcome => {
     const rank = ranks[at];
     if (!rank) return 'refused';
-    const { outcome, change } = judgeRankOrder({ ...rank, epoch, step, isCopied: true }, order);
+    const { outcome, change } = evaluateRankOrder({ ...rank, epoch, step, isCopied: true }, order);
     Object.assign(rank, change);
     return outcome === 'refused' ? 'refused' : 'done';
   };
--- a/packages/requests/test/claims.test.ts
+++ b/packages/requests/test/claims.test.ts
@@ -27,7 +27,7 @@
 
 const createFixture = (step?: (label: string) => Promise<void>) => {
   const clock = createManualClock(1_800_000_000_000);
-  const fake = createMemoryLog({ ...(step && { step }), pageSize: 3 });
+  const fake = createMemoryLog({ ...(step && { syncPoint: step }), pageSize: 3 });
   const agent = (instance: string): Claims =>
     createClaims({
       clock,
@@ -170,7 +170,7 @@
     const key = datedKey(clock.now());
     await settled(clock, agent('kent').claim(request({ key })));
     const suspended = agent('lynnwood').claim(request({ key, budgetMs: 10 * WINDOW_MS }));
-    fake.forgetAll();
+    fake.expireAll();
     await clock.advance(2 * WINDOW_MS);
     expect(await settled(clock, suspended)).to.deep.equal({ verdict: 'key-expired' });
     const late = await settled(clock, agent('kent').claim(request({ key })));
@@ -186,7 +186,7 @@
     const kent = agent('kent');
     await settled(clock, kent.claim(request()));
     await settled(clock, agent('csepel').claim(request({ key: 'export-2' })));
-    fake.forgetAll();
+    fake.expireAll();
     const verdict = await settled(clock, kent.claim(request({ key: 'export-3' })));
     expect(verdict.verdict).to.equal('first');
   });
--- a/packages/stand-ins/src/load/max-in-window.ts
+++ b/packages/stand-ins/src/load/max-in-window.ts
@@ -1,5 +1,5 @@
 /** Returns the maximum number of `times` within any window of `windowMs` milliseconds. */
-export const mostInWindow = (times: readonly number[], windowMs: number): number =>
+export const maxInWindow = (times: readonly number[], windowMs: number): number =>
   Math.max(
     0,
     ...times.map((from) => times.filter((at) => at >= from && at < from + windowMs).length),
--- a/packages/stand-ins/src/load/plan.ts
+++ b/packages/stand-ins/src/load/plan.ts
@@ -34,7 +34,7 @@
   /** Time limit in milliseconds for the first token of a stream, or else the full response. */
   targetMs: number;
   /** Fraction of (keyed) calls that are immediately sent a second time, through another entry. */
-  twiceShare?: number;
+  duplicateShare?: number;
   work: CompletionWork | ServiceWork;
 }
 
@@ -91,7 +91,7 @@
       maxTokens: completion ? randomInteger(random, completion.tokens) : 0,
     };
     arrivals.push(arrival);
-    const isDuplicated = random() < (stream.twiceShare ?? 0);
+    const isDuplicated = random() < (stream.duplicateShare ?? 0);
     if (isDuplicated) arrivals.push({ ...arrival, repeat: true });
   }
   return arrivals;
--- a/packages/stand-ins/src/log/memory-log.ts
+++ b/packages/stand-ins/src/log/memory-log.ts
@@ -17,9 +17,9 @@
 export interface LogFaults {
   down: boolean;
   /** Delay of every response, in milliseconds. */
-  slowMs: number;
+  responseDelayMs: number;
   /** Additional delay of the responses to reads, in milliseconds. */
-  slowReadMs: number;
+  readDelayMs: number;
   /** Faults of the next appends, in order. */
   appends: AppendFault[];
 }
@@ -45,7 +45,7 @@
   /** Deletes all records below `beginning`, as retention does. */
   expire(beginning: number): void;
   /** Deletes all records, as retention does. */
-  forgetAll(): void;
+  expireAll(): void;
   /** Deletes all records from offset `end` on, as restoring an older copy does. */
   truncate(end: number): void;
   /** Offset of the next record of the first partition. */
@@ -57,7 +57,7 @@
   /** Clock for long polls and delays; without it, reads return at once and nothing is delayed. */
   clock?: ManualClock;
   /** Awaited before and after each effect, so that a test can control the order of effects. */
-  step?: (label: string) => Promise<void>;
+  syncPoint?: (label: string) => Promise<void>;
   /** Maximum number of records that one read returns. */
   pageSize?: number;
 }
@@ -72,14 +72,19 @@
 const UNNAMED_PARTITION = 'first';
 const RETRY_AFTER_MS = 500;
 
-const createFaults = (): LogFaults => ({ down: false, slowMs: 0, slowReadMs: 0, appends: [] });
+const createFaults = (): LogFaults => ({
+  down: false,
+  responseDelayMs: 0,
+  readDelayMs: 0,
+  appends: [],
+});
 
 const failure = (kind: LogFailure['kind']): { ok: false; err: LogFailure } =>
   fail({ kind, retryAfterMs: RETRY_AFTER_MS });
 
 /** Creates an empty log. */
 export const createMemoryLog = (options: MemoryLogOptions = {}): MemoryLog => {
-  const { clock, step: syncPoint = async () => {}, pageSize = 100 } = options;
+  const { clock, syncPoint = async () => {}, pageSize = 100 } = options;
   const partitions = new Map<string, Partition>();
   const sharedFaults = createFaults();
   const counts = { appends: 0, reads: 0 };
@@ -135,7 +140,7 @@
       await syncPoint(label);
       if (isDown()) return failure('unavailable');
       const result = await work();
-      await delay(faults.slowMs + sharedFaults.slowMs);
+      await delay(faults.responseDelayMs + sharedFaults.responseDelayMs);
       return clock && isDown() ? failure('unknown') : result;
     };
 
@@ -152,7 +157,7 @@
           const from = partitionOf(topic, partition);
           if (offset < from.first || offset > from.next) return failure('out-of-range');
           if (clock && offset === from.next && waitMs > 0) await awaitNextRecord(clock, waitMs);
-          await delay(faults.slowReadMs + sharedFaults.slowReadMs);
+          await delay(faults.readDelayMs + sharedFaults.readDelayMs);
           const found = from.records.filter((record) => record.offset >= offset);
           await syncPoint('read answer');
           return ok(found.slice(0, pageSize));
@@ -198,7 +203,7 @@
         const kept = Math.max(first, Math.min(beginning, next));
         return { first: kept, records: records.filter(({ offset }) => offset >= kept) };
       }),
-    forgetAll: () => updateEach(({ next }) => ({ first: next, records: [] })),
+    expireAll: () => updateEach(({ next }) => ({ first: next, records: [] })),
     truncate: (end) =>
       updateEach(({ records }) => ({
         next: end,
--- a/packages/stand-ins/src/users-platform/operator-stand-in.ts
+++ b/packages/stand-ins/src/users-platform/operator-stand-in.ts
@@ -107,7 +107,7 @@
 });
 
 /** Returns whether a response carries the stamp of the server that handled it. */
-export const hasReceipt = (headers: Readonly<Record<string, unknown>>): boolean =>
+export const hasServerStamp = (headers: Readonly<Record<string, unknown>>): boolean =>
   headers['x-server-stamp'] !== undefined;
 
 /** Headers that make a server refuse the request unless it is the given instance. */
--- a/packages/stand-ins/src/users-platform/rank-orders.ts
+++ b/packages/stand-ins/src/users-platform/rank-orders.ts
@@ -64,7 +64,7 @@
 };
 
 /** Determines the effect of an order; the caller applies the change. */
-export const judgeRankOrder = (
+export const evaluateRankOrder = (
   state: RankOrderState,
   { op, epoch, version = -1, step = -1 }: RankOrderRequest,
 ): RankOrderEffect => {
--- a/packages/stand-ins/src/users-platform/server-stand-in.ts
+++ b/packages/stand-ins/src/users-platform/server-stand-in.ts
@@ -2,7 +2,7 @@
 
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
-import { judgeRankOrder } from './rank-orders.js';
+import { evaluateRankOrder } from './rank-orders.js';
 
 /** State of the rank that the stand-in simulates. */
 export interface RankState {
@@ -26,7 +26,7 @@
   /** Simulates the restart of a rank: the group forms in a new epoch with map 0. */
   reform(rank: number): void;
   /** Number of passes that started with different maps. */
-  mixed(): number;
+  mixedPasses(): number;
 }
 
 /** Options of `createGroup`. */
@@ -37,11 +37,16 @@
   /**
    * Returns how often one rank selects each expert in a pass: one number per expert, set by set.
    */
-  picks: () => number[];
+  selectionCounts: () => number[];
 }
 
 /** Creates a group with map 0, which assigns the experts to the ranks round-robin. */
-export const createGroup = ({ size, sets, experts, picks }: GroupOptions): GroupStandIn => {
+export const createGroup = ({
+  size,
+  sets,
+  experts,
+  selectionCounts: picks,
+}: GroupOptions): GroupStandIn => {
   const assignRoundRobin = (rank: number): number[] =>
     Array.from({ length: experts }, (_, expert) => expert).filter((e) => e % size === rank);
   const createRankState = (rank: number): RankState => ({
@@ -85,7 +90,7 @@
         Object.assign(rank, createRankState(at), { epoch, step: rank.step, counts });
       });
     },
-    mixed: () => mixed,
+    mixedPasses: () => mixed,
   };
 };
 
@@ -100,7 +105,7 @@
 const STATUS = { begun: 202, done: 200, refused: 409, unknown: 400 } as const;
 
 const executeOrder = (state: RankState, rank: number, order: Order): number => {
-  const { outcome, change } = judgeRankOrder(
+  const { outcome, change } = evaluateRankOrder(
     {
       ...state,
       prepared: state.prepared ?? undefined,
@@ -135,7 +140,7 @@
 /** A running server. */
 export interface ServerStandIn {
   /** Ids of the requests that were executed. */
-  ran: string[];
+  executedIds: string[];
   /** All requests received, executed or not, with their times (monotonic, in milliseconds). */
   arrivals: { id: string; at: number }[];
   /** Sets the rate limit (requests per second) advertised in responses; undefined for none. */
@@ -143,7 +148,7 @@
   /**
    * Simulates a crash and restart under the same instance id: holds and selection counts are lost.
    */
-  startAgain(): void;
+  restart(): void;
   /** Returns the headers of the last request. */
   lastHeaders(): IncomingMessage['headers'];
   close(): Promise<void>;
@@ -220,12 +225,12 @@
     server.listen(listen.port, listen.host, resolve);
   });
   return {
-    ran,
+    executedIds: ran,
     arrivals,
     advertiseLimit: (perSecond) => {
       limit = perSecond === undefined ? {} : { 'Server-Limit': String(perSecond) };
     },
-    startAgain: () => {
+    restart: () => {
       startedAt += RESTART_DELAY_MS;
       group?.group.reform(group.rank);
     },
--- a/packages/stand-ins/src/users-platform/store-stand-in.ts
+++ b/packages/stand-ins/src/users-platform/store-stand-in.ts
@@ -37,7 +37,7 @@
   /**
    * Makes reads of earlier offsets fail, as compaction does; the latest values remain available.
    */
-  forgetHistory(): void;
+  compact(): void;
   /** Saves the current end of each topic as the backup. */
   takeBackup(): void;
   /**
@@ -188,7 +188,7 @@
     setMode: (next) => {
       mode = next;
     },
-    forgetHistory: () => {
+    compact: () => {
       topics.forEach((topic) => {
         Object.assign(topic, { first: topic.records.length });
       });
--- a/packages/stand-ins/test/load.test.ts
+++ b/packages/stand-ins/test/load.test.ts
@@ -35,7 +35,7 @@
   class: 'export',
   perSecond: 50,
   targetMs: 60_000,
-  twiceShare: 0.2,
+  duplicateShare: 0.2,
   work: { kind: 'service', path: '/export', keyed: true },
 };
 
