--- a/packages/lab/src/bench/request-cost.ts
+++ b/packages/lab/src/bench/request-cost.ts
@@ -3,10 +3,10 @@
 import { setTimeout as delay } from 'node:timers/promises';
 import { createSeededRandom } from '@plantaindrum/common';
 import { startChild } from '../harness/child.js';
-import { readCpuTimeMs } from '../harness/used-time.js';
+import { readCpuTimeMs } from '../harness/cpu-time.js';
 import { startCallers } from '../soak/callers.js';
-import { SOAK_PORTS, startSoakSite } from '../soak/world.js';
-import type { Vm } from '../soak/world.js';
+import { SOAK_PORTS, startSoakSite } from '../soak/soak-site.js';
+import type { Vm } from '../soak/soak-site.js';
 import type { UnitCost } from './unit-costs.js';
 
 const SIZE = { entries: 1, ranks: 1, books: 1, sets: 2, experts: 12, passMs: 25 };
--- a/packages/lab/src/emulator/day.ts
+++ b/packages/lab/src/emulator/day.ts
@@ -7,7 +7,7 @@
 import { median, percentile } from '../harness/statistics.js';
 import { createContent } from './content.js';
 import type { DayFigures, DaySpec, StreamRequest } from './day-types.js';
-import { startCoordinator } from './coordinate.js';
+import { startCoordinator } from './coordinator.js';
 import { createEngineGroup } from './engine-group.js';
 import type { EngineGroup, EngineRequest } from './engine-types.js';
 import { TARGET_FIRST_MS, TARGET_PAUSE_MS } from './targets.js';
--- a/packages/lab/src/soak/callers.ts
+++ b/packages/lab/src/soak/callers.ts
@@ -3,8 +3,8 @@
 import { request } from 'node:http';
 import type { Random } from '@plantaindrum/common';
 import { callerHeaders, hasServerStamp } from '@plantaindrum/stand-ins';
-import { SOAK_PORTS } from './world.js';
-import type { Vm, SoakSite } from './world.js';
+import { SOAK_PORTS } from './soak-site.js';
+import type { Vm, SoakSite } from './soak-site.js';
 
 /** Kind of a request, named as the route that serves it. */
 export type CallKind = 'safe' | 'once' | 'gen';
--- a/packages/lab/src/soak/checks.ts
+++ b/packages/lab/src/soak/checks.ts
@@ -2,7 +2,7 @@
 
 import type { SoakCall } from './callers.js';
 import type { InjectedFault } from './faults.js';
-import type { SoakSite } from './world.js';
+import type { SoakSite } from './soak-site.js';
 
 /** A guarantee that was violated. */
 export interface Violation {
--- a/packages/lab/src/soak/faults.ts
+++ b/packages/lab/src/soak/faults.ts
@@ -3,7 +3,7 @@
 import { setTimeout as delay } from 'node:timers/promises';
 import type { Random } from '@plantaindrum/common';
 import type { StoreMode } from '@plantaindrum/stand-ins';
-import type { Vm, SoakSite } from './world.js';
+import type { Vm, SoakSite } from './soak-site.js';
 
 /** A fault that was injected, for the report of a violation. */
 export interface InjectedFault {
--- a/packages/lab/src/soak/soak.ts
+++ b/packages/lab/src/soak/soak.ts
@@ -8,8 +8,8 @@
 import type { Violation } from './checks.js';
 import { startFaults } from './faults.js';
 import { findLimitViolations } from './limit-check.js';
-import { startSoakSite } from './world.js';
-import type { SoakSite } from './world.js';
+import { startSoakSite } from './soak-site.js';
+import type { SoakSite } from './soak-site.js';
 
 /** Options of `runSoak`. */
 export interface SoakOptions {
