--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -129,7 +129,7 @@
   const admission = createAdmission(clock, log);
   const entries = (): number => mesh?.entries() ?? 1;
   const budget = createRetryBudget({ limits: () => bounds.retries, entries, clock });
-  const reopening = createServiceOutages({ clock, metrics, log });
+  const outages = createServiceOutages({ clock, metrics, log });
 
   const waitForIntent = async (timeoutMs: number): Promise<void> => {
     const deadline = clock.monotonic() + timeoutMs;
@@ -142,7 +142,7 @@
     admission,
     budget,
     rateLimits,
-    outages: reopening,
+    outages,
     quarantine,
     checkExit,
     entries,
--- a/packages/gateway/src/serving/retry-loop.ts
+++ b/packages/gateway/src/serving/retry-loop.ts
@@ -85,7 +85,7 @@
   deps: ServingDeps,
 ): RetryLoop => {
   const { route, res, service } = request;
-  const { clock, directory, budget, outages: reopening, quarantine, metrics, log } = deps;
+  const { clock, directory, budget, outages, quarantine, metrics, log } = deps;
   const { mayRepeat } = options;
   const tried = new Set<string>();
   let current: Attempt | undefined;
@@ -119,10 +119,10 @@
 
   /** Records what the end of an attempt shows about the availability of the service. */
   const updateAvailability = (hasAnswered: boolean, upstream: Upstream): void => {
-    if (hasAnswered) reopening.recordAnswer(service);
-    else if (!upstream.isRefusing()) reopening.recordInconclusive(service);
-    else if (reopening.isUnavailable(service) || directory.isRefusing(service)) {
-      reopening.recordRefusal(service);
+    if (hasAnswered) outages.recordAnswer(service);
+    else if (!upstream.isRefusing()) outages.recordInconclusive(service);
+    else if (outages.isUnavailable(service) || directory.isRefusing(service)) {
+      outages.recordRefusal(service);
     }
   };
 
@@ -173,7 +173,7 @@
   const recordOutcome = (outcome: AttemptOutcome): void => {
     if (outcome.outcome === 'not-run') {
       progress.notRuns += 1;
-      if (reopening.isUnavailable(service)) probes += 1;
+      if (outages.isUnavailable(service)) probes += 1;
       if (!outcome.wasSent) progress.unsent += 1;
     } else {
       progress.runs += 1;
--- a/packages/gateway/src/serving/wait-for-service.ts
+++ b/packages/gateway/src/serving/wait-for-service.ts
@@ -15,10 +15,10 @@
   waitStartedAt: number,
   deps: ServingDeps,
 ): Promise<boolean> => {
-  const { outages: reopening, directory } = deps;
+  const { outages, directory } = deps;
   const { service } = request;
-  if (!reopening.isUnavailable(service)) return true;
-  const outcome = await reopening.wait(service, {
+  if (!outages.isUnavailable(service)) return true;
+  const outcome = await outages.wait(service, {
     isLastAttempt: request.isReturn || request.fields.lastEventId !== undefined,
     until: Math.min(waitStartedAt + MAX_WAIT_MS, request.deadlineAt),
     urgency: urgencyOf(request),
--- a/packages/gateway/test/service-outages.test.ts
+++ b/packages/gateway/test/service-outages.test.ts
@@ -10,13 +10,19 @@
   const clock = createManualClock();
   const outages = createServiceOutages({ clock, metrics: createMetrics(), log: silentEventLog });
   const ended: [name: string, outcome: WaitOutcome][] = [];
-  const enqueue = (name: string, urgency = 1, room = 9, waitMs = 1_000, isLastTry = true): void => {
+  const enqueue = (
+    name: string,
+    urgency = 1,
+    maxWaiting = 9,
+    waitMs = 1_000,
+    isLastAttempt = true,
+  ): void => {
     void outages
       .wait('s', {
         until: clock.monotonic() + waitMs,
         urgency,
-        maxWaiting: room,
-        isLastAttempt: isLastTry,
+        maxWaiting,
+        isLastAttempt,
       })
       .then((outcome) => ended.push([name, outcome]));
   };
--- a/packages/intent/src/core/data-centre/stopping.ts
+++ b/packages/intent/src/core/data-centre/stopping.ts
@@ -78,7 +78,7 @@
   const stopped = new Set<string>();
   const returnedAt = new Map<string, number>();
 
-  const follow = (document: IntentDocument): void => {
+  const update = (document: IntentDocument): void => {
     Object.keys(document.dataCentres).forEach((name) => {
       if (isStopped(document, name)) {
         stopped.add(name);
@@ -96,5 +96,5 @@
     return Math.min(1, INITIAL_SHARE + (1 - INITIAL_SHARE) * progress);
   };
 
-  return { update: follow, share, admits: (dataCentre) => random() < share(dataCentre) };
+  return { update, share, admits: (dataCentre) => random() < share(dataCentre) };
 };
--- a/packages/intent/test/membership.test.ts
+++ b/packages/intent/test/membership.test.ts
@@ -75,7 +75,7 @@
   it('ignores the removals of a list that dropped most VMs at once', async () => {
     membership.applyList([]);
     await clock.advance(60_000);
-    expect(membership.members().map(({ availability: standing }) => standing)).to.deep.equal(
+    expect(membership.members().map(({ availability }) => availability)).to.deep.equal(
       Array.from({ length: 3 }, () => 'usable'),
     );
     expect(metrics.counter('vm_list_not_believed')).to.equal(1);
--- a/packages/lab/src/soak/checks.ts
+++ b/packages/lab/src/soak/checks.ts
@@ -76,7 +76,7 @@
 ): Violation[] => {
   const runs = new Map<string, number>();
   site.servers
-    .flatMap(({ executedIds: ran }) => ran)
+    .flatMap(({ executedIds }) => executedIds)
     .forEach((id) => {
       runs.set(id, (runs.get(id) ?? 0) + 1);
     });
--- a/packages/lab/src/soak/soak-site.ts
+++ b/packages/lab/src/soak/soak-site.ts
@@ -85,7 +85,7 @@
   size: SoakSiteSize = DEFAULT_SIZE,
   nodeArgsOf: (vm: Pick<Vm, 'role'>) => string[] = () => [],
 ): Promise<SoakSite> => {
-  const { entries, ranks, plainServers: books, sets, experts, passMs } = size;
+  const { entries, ranks, plainServers, sets, experts, passMs } = size;
   const folder = await mkdtemp(join(tmpdir(), 'plantaindrum-soak-'));
   const store = await startStoreStandIn();
   const serverRecordWriters: (() => void)[] = [];
@@ -113,7 +113,7 @@
   const servers = await Promise.all([
     limitedServer,
     ...Array.from({ length: ranks }, (_, n) => startServer(`rank-${n}`, 'llm', rankIp(n), n)),
-    ...Array.from({ length: books - 1 }, (_, n) =>
+    ...Array.from({ length: plainServers - 1 }, (_, n) =>
       startServer(`book-${n + 1}`, 'book', serverIp(n + 1)),
     ),
   ]);
--- a/packages/mirror/src/follow.ts
+++ b/packages/mirror/src/follow.ts
@@ -76,7 +76,7 @@
 
 /** Starts following a topic; runs until `close`. */
 export const followTopic = (options: FollowOptions): Follower => {
-  const { topic, mirror, fetchFromPeers: askPeers, waitMs, pauseMs, clock, metrics, log } = options;
+  const { topic, mirror, fetchFromPeers, waitMs, pauseMs, clock, metrics, log } = options;
   const pause: Pause = createPause(clock);
   let stopped = false;
   let confirmedAt = -Infinity;
@@ -221,7 +221,7 @@
   };
 
   const fetchOnce = async (offset: number): Promise<void> => {
-    const answer = await askPeers(topic.name, { generation: mirror.generation(), offset });
+    const answer = await fetchFromPeers(topic.name, { generation: mirror.generation(), offset });
     if (!answer || stopped || answer.generation < mirror.generation()) return;
     const before = position();
     applyPeerRecords(answer);
@@ -240,7 +240,7 @@
     }
   };
 
-  const takePush = (push: PeerPush): void => {
+  const handlePush = (push: PeerPush): void => {
     const { after, end, generation } = push;
     if (stopped || generation < mirror.generation()) return;
     const isLaterGeneration = generation > mirror.generation() && mirror.generation() >= 0;
@@ -277,7 +277,7 @@
       // A long poll that is pending may never be answered, as it was sent to the log that has been lost.
       if (!stopped && !isKnown && !isDelegated) void resync();
     },
-    handlePush: takePush,
+    handlePush,
     close: () => {
       stopped = true;
       unconfirmedExpiry.close();
--- a/packages/mirror/test/follow.test.ts
+++ b/packages/mirror/test/follow.test.ts
@@ -66,7 +66,7 @@
 
 const start = async (
   peer?: () => PeerRecords | undefined,
-  isReadByPeer = () => false,
+  isDelegated = () => false,
   retryMaxMs?: number,
 ) => {
   const clock = createManualClock();
@@ -76,7 +76,7 @@
     topic: log.topic,
     mirror,
     fetchFromPeers: async () => peer?.(),
-    isDelegated: isReadByPeer,
+    isDelegated,
     waitMs: 0,
     pauseMs: 100,
     ...(retryMaxMs === undefined ? {} : { retryMaxMs }),
@@ -110,7 +110,7 @@
   const clock = createManualClock();
   const mirror = createKeyedMirror(() => {});
   const common = { clock, metrics: createMetrics(), log: silentEventLog };
-  const reading = { waitMs: 10_000, pauseMs: 100, askPeers: async () => undefined };
+  const reading = { waitMs: 10_000, pauseMs: 100, fetchFromPeers: async () => undefined };
   const follower = followTopic({ topic, mirror, ...reading, ...common });
   await flushPromises();
   return { clock, mirror, follower, from, answer: (outcome: LogReadOutcome) => answer(outcome) };
--- a/packages/requests/test/claims.test.ts
+++ b/packages/requests/test/claims.test.ts
@@ -25,9 +25,9 @@
   return `${hex.slice(0, 8)}-${hex.slice(8)}-7000-8000-000000000001`;
 };
 
-const createFixture = (step?: (label: string) => Promise<void>) => {
+const createFixture = (syncPoint?: (label: string) => Promise<void>) => {
   const clock = createManualClock(1_800_000_000_000);
-  const fake = createMemoryLog({ ...(step && { syncPoint: step }), pageSize: 3 });
+  const fake = createMemoryLog({ ...(syncPoint && { syncPoint }), pageSize: 3 });
   const agent = (instance: string): Claims =>
     createClaims({
       clock,
--- a/packages/stand-ins/src/users-platform/server-stand-in.ts
+++ b/packages/stand-ins/src/users-platform/server-stand-in.ts
@@ -45,7 +45,7 @@
   size,
   sets,
   experts,
-  selectionCounts: picks,
+  selectionCounts,
 }: GroupOptions): GroupStandIn => {
   const assignRoundRobin = (rank: number): number[] =>
     Array.from({ length: experts }, (_, expert) => expert).filter((e) => e % size === rank);
@@ -69,7 +69,7 @@
       armed?.step === step
         ? { map: armed.version, experts: preparedExperts, armed: null, prepared: null }
         : {};
-    const selected = picks();
+    const selected = selectionCounts();
     const counts = rank.counts.map((n, at) => n + (selected[at] ?? 0));
     Object.assign(rank, changes, { step, counts });
   };
@@ -160,7 +160,7 @@
   instance: string,
   group?: { group: GroupStandIn; rank: number },
 ): Promise<ServerStandIn> => {
-  const ran: string[] = [];
+  const executedIds: string[] = [];
   const arrivals: { id: string; at: number }[] = [];
   let limit: Record<string, string> = {};
   let startedAt = FIRST_START_MS;
@@ -196,7 +196,7 @@
       res.writeHead(421, { 'X-Instance-Id': instance }).end();
       return;
     }
-    ran.push(id);
+    executedIds.push(id);
     const successHeaders = { 'X-Request-Id': id, 'X-Server-Stamp': `stamp-${instance}`, ...limit };
     if (!group) {
       res.writeHead(200, { ...successHeaders, 'X-Server-Load': '1,0,6' }).end('done');
@@ -225,7 +225,7 @@
     server.listen(listen.port, listen.host, resolve);
   });
   return {
-    executedIds: ran,
+    executedIds,
     arrivals,
     advertiseLimit: (perSecond) => {
       limit = perSecond === undefined ? {} : { 'Server-Limit': String(perSecond) };
