--- a/packages/lab/src/bench/request-cost.ts
+++ b/packages/lab/src/bench/request-cost.ts
@@ -9,7 +9,7 @@
 import type { Vm } from '../soak/soak-site.js';
 import type { UnitCost } from './unit-costs.js';
 
-const SIZE = { entries: 1, ranks: 1, books: 1, sets: 2, experts: 12, passMs: 25 };
+const SIZE = { entries: 1, ranks: 1, plainServers: 1, sets: 2, experts: 12, passMs: 25 };
 const PASS_THROUGH = 'packages/lab/dist/bench/pass-through.js';
 const KEY = 'key-a';
 const SERVER_INSTANCE = 'book-0';
