--- a/packages/agent/src/core/entries.ts
+++ b/packages/agent/src/core/entries.ts
@@ -9,7 +9,7 @@
 export interface Entries {
   /** Registers a new link of an entry; returns the handler of its frames. */
   onLink(link: Link): FrameHandler;
-  /** Tells every entry that this agent accepts no new requests any more. */
+  /** Announces to every entry that this agent accepts no new requests any more. */
   announceLeaving(): void;
   count(): number;
 }
--- a/packages/gateway/src/admission/service-outages.ts
+++ b/packages/gateway/src/admission/service-outages.ts
@@ -1,5 +1,5 @@
 /**
- * Queues callers while the group behind a service re-forms.
+ * Queues callers while the group behind a service forms again.
  *
  * After a power loss all ranks refuse for some 0.7 s, and callers whose streams were cut come back within that
  * time. Each comes back only once: refused then, it is lost. So a limited number of callers that won't come back
@@ -41,7 +41,7 @@
   isLastAttempt: boolean;
   /** End of the wait (monotonic, ms). */
   until: number;
-  /** Rank among callers, 0 first. */
+  /** Order in which waiting callers proceed: lower values first, from 0. */
   urgency: number;
   /** Max callers that may wait for the service at this entry. */
   maxWaiting: number;
--- a/packages/gateway/src/attempts/exchange.ts
+++ b/packages/gateway/src/attempts/exchange.ts
@@ -45,7 +45,7 @@
 /**
  * Starts an exchange on a new connection. Connections are not reused: on a reused one, a second or late response would
  * be read as the response to the next request, an idle timeout of the upstream could hit a request that must not be
- * repeated, and only a failed request would show that the connection is dead.
+ * repeated, and only a failed request would show that the connection is closed.
  */
 export const startExchange = (options: ExchangeRequest, clock: Clock): Exchange => {
   const { host, port, method, path, headers, body, connectTimeoutMs } = options;
--- a/packages/intent/src/core/membership/membership.ts
+++ b/packages/intent/src/core/membership/membership.ts
@@ -1,7 +1,7 @@
 /**
  * Which VMs exist and may get new work, from the platform's VM list and the state of links.
  *
- * The list lags in both directions: it shows a VM for a while after it has died or begun to leave,
+ * The list lags in both directions: it shows a VM for a while after it has ended or begun to leave,
  * and drops one that is still finishing its work. The state of a link is first-hand, so it overrides
  * the list where it rules new work out; the list alone never makes a VM usable.
  */
--- a/packages/intent/test/membership.test.ts
+++ b/packages/intent/test/membership.test.ts
@@ -47,7 +47,7 @@
     expect(membership.availability('a')).to.equal('leaving');
   });
 
-  // A VM dies unannounced and the list shows it for another minute. Without a link it gets no work;
+  // A VM ends unannounced and the list shows it for another minute. Without a link it gets no work;
   // it is still dialled, since the fault may be the network's.
   it('gives no work to a dead VM that the list still shows', () => {
     membership.handleUnlinked('a', 'a1');
--- a/packages/link/src/messages.ts
+++ b/packages/link/src/messages.ts
@@ -72,7 +72,7 @@
   id: AttemptId;
 }
 
-/** Entry to agent, after a reconnect: asks for the outcome of an attempt. An unknown id gets a tombstone. */
+/** Entry to agent, after a reconnect: queries the outcome of an attempt. An unknown id gets a tombstone. */
 export interface Query {
   t: 'query';
   id: AttemptId;
--- a/packages/link/src/payload-reader.ts
+++ b/packages/link/src/payload-reader.ts
@@ -7,7 +7,7 @@
 /** How the input of a socket ended. */
 export type InputEnd = 'closed-by-peer' | 'socket-error';
 
-/** Options of `startIntake`. */
+/** Options of `startPayloadReader`. */
 export interface PayloadReaderOptions {
   socket: Socket;
   /** Largest payload, in bytes. */
--- a/packages/mirror/src/topic.ts
+++ b/packages/mirror/src/topic.ts
@@ -46,7 +46,7 @@
 
 /** What a peer forwards after each of its reads of the log. */
 export interface PeerPush {
-  /** The peer's end before that read; a mirror that ends earlier has a gap. `WHOLE` if `records` are the full topic. */
+  /** The peer's end before that read; a mirror that ends earlier has a gap. `TOPIC_START` if `records` are the full topic. */
   after: number;
   records: readonly KeyedRecord[];
   end: number;
--- a/packages/mirror/src/unconfirmed-expiry.ts
+++ b/packages/mirror/src/unconfirmed-expiry.ts
@@ -3,7 +3,7 @@
 import type { Clock, EventLog } from '@plantaindrum/common';
 import type { KeyedMirror } from './keyed-mirror.js';
 
-/** Options of `createLostKeys`. */
+/** Options of `createUnconfirmedExpiry`. */
 export interface UnconfirmedExpiryOptions {
   topic: string;
   mirror: KeyedMirror;
--- a/packages/plantaindrum/test/run-attempt.test.ts
+++ b/packages/plantaindrum/test/run-attempt.test.ts
@@ -238,7 +238,7 @@
   });
 
   /*
-   * The agent dies after the dispatch, and a new instance accepts the link at the same address. It
+   * The agent exits after the dispatch, and a new instance accepts the link at the same address. It
    * has no record of the attempt, which may have run: the outcome is unknown, without a query.
    */
   it('is unknown when another agent instance reconnects', async () => {
--- a/packages/plantaindrum/test/streams.test.ts
+++ b/packages/plantaindrum/test/streams.test.ts
@@ -134,7 +134,7 @@
   });
 
   /*
-   * The first upstream fails after two events and half of a third. The retry asks another to resume
+   * The first upstream fails after two events and half of a third. The retry has another resume
    * after the last complete event that was sent, so the caller gets one stream without gaps.
    */
   const failThenResumeFrom =
--- a/packages/rank-groups/src/links/slowdown-reporter.ts
+++ b/packages/rank-groups/src/links/slowdown-reporter.ts
@@ -20,7 +20,7 @@
   close(): Promise<void>;
 }
 
-/** Options of `createPaceReporter`. */
+/** Options of `createSlowdownReporter`. */
 export interface SlowdownReporterOptions {
   self: NodeRecord;
   region: string;
--- a/packages/rank-groups/src/links/telemetry-poller.ts
+++ b/packages/rank-groups/src/links/telemetry-poller.ts
@@ -19,7 +19,7 @@
   close(): void;
 }
 
-/** Options of `createNewsReader`. */
+/** Options of `createTelemetryPoller`. */
 export interface TelemetryPollerOptions {
   /** Resolves once this agent coordinates; immediately if it already does. */
   whenCoordinating: () => Promise<void>;
--- a/packages/requests/src/claims/records.ts
+++ b/packages/requests/src/claims/records.ts
@@ -2,7 +2,7 @@
 import { z } from 'zod';
 import type { ClaimId, ClaimOutcome } from './types.js';
 
-/** Record of an agent that asks to run the call of a key. */
+/** Claim of an agent that wants to run the call of a key. */
 export interface ClaimRecord {
   kind: 'claim';
   id: ClaimId;
--- a/packages/requests/src/queue/share-meter.ts
+++ b/packages/requests/src/queue/share-meter.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '@plantaindrum/common';
 import { createDecayedSums } from './decayed-sums.js';
 
-/** Tells which organisations recently used more than their fair share of an upstream. */
+/** Determines which organisations recently used more than their fair share of an upstream. */
 export interface ShareMeter {
   /** Records that an item of the organisation was started. */
   recordServed(organisation: string, cost: number): void;
