--- a/packages/common/src/adaptive-timeouts.ts
+++ b/packages/common/src/adaptive-timeouts.ts
@@ -23,9 +23,9 @@
   /** Timeout before the first observation. */
   first: number;
   /** Minimum; the backoff may raise the timeout above it. */
-  least: number;
+  min: number;
   /** Maximum, which also applies to the backoff. */
-  most: number;
+  max: number;
 }
 
 const EWMA_WEIGHTS = { mean: 1 / 8, deviation: 1 / 4, firstDeviation: 1 / 2 };
@@ -41,10 +41,10 @@
 
   return {
     timeoutMs: (kind) => {
-      const { first, least, most } = bounds(kind);
+      const { first, min, max } = bounds(kind);
       const observed = estimates.get(kind)?.current();
       const expected = observed ? observed.mean + DEVIATION_FACTOR * observed.deviation : first;
-      return Math.min(most, Math.max(least, expected) * (backoffFactors.get(kind) ?? 1));
+      return Math.min(max, Math.max(min, expected) * (backoffFactors.get(kind) ?? 1));
     },
     record: (kind, ms) => {
       backoffFactors.delete(kind);
--- a/packages/common/test/adaptive-timeouts.test.ts
+++ b/packages/common/test/adaptive-timeouts.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import { createAdaptiveTimeouts } from '../src/index.js';
 
-const create = () => createAdaptiveTimeouts(() => ({ first: 110, least: 100, most: 1_500 }));
+const create = () => createAdaptiveTimeouts(() => ({ first: 110, min: 100, max: 1_500 }));
 
 describe('adaptive timeouts', () => {
   it('start at the declared timeout and never fall below the minimum', () => {
--- a/packages/gateway/src/admission/event-timings.ts
+++ b/packages/gateway/src/admission/event-timings.ts
@@ -12,7 +12,7 @@
   /** Records that an attempt was given up without an event after this time, in ms. */
   recordTimeout(ms: number): void;
   /**
-   * Time without a first event after which an attempt's upstream is considered dead, in ms. It follows the observed
+   * Time without a first event after which an attempt's upstream is considered failed, in ms. It follows the observed
    * times: while requests queue for a slot or long prompts are read, live upstreams are silent for longer, too.
    */
   firstEventTimeoutMs(): number;
@@ -31,7 +31,7 @@
  * Bounds of the time to a first event, in ms. The lower one is well above a pass of a group. Callers give up a
  * stream without any event after the upper one, so that a later attempt would be in vain.
  */
-const FIRST_EVENT_TIMEOUT_MS = { first: 900, least: 900, most: 2_000 };
+const FIRST_EVENT_TIMEOUT_MS = { first: 900, min: 900, max: 2_000 };
 
 interface Sample {
   at: number;
--- a/packages/gateway/src/mesh/followed-topics.ts
+++ b/packages/gateway/src/mesh/followed-topics.ts
@@ -21,7 +21,7 @@
   /** Max pause after failed reads once the topic has been read, in ms. */
   retryMaxMs?: number;
   /** Time after a restore of the log until lost keys that weren't written again are dropped, in ms; undefined: never. */
-  rewrittenWithinMs?: number;
+  rewriteTimeoutMs?: number;
   /** Called when the mirror has switched to a log that was restored from an older copy. */
   onRestored?: (source: RestoreSource) => void;
 }
--- a/packages/gateway/src/upstreams/directory.ts
+++ b/packages/gateway/src/upstreams/directory.ts
@@ -210,7 +210,7 @@
 
   const leastLoaded = (service: string, upstreams: readonly Upstream[]): Upstream | undefined => {
     const candidates = upstreams.map((upstream) => ({
-      cost: loadScoreOf(upstream, dataCentre),
+      score: loadScoreOf(upstream, dataCentre),
       free: upstream.record.slots - upstream.total(),
     }));
     return upstreams[selectCandidate(candidates, arrivals.unreported(service), random)];
--- a/packages/gateway/src/upstreams/peer-arrivals.ts
+++ b/packages/gateway/src/upstreams/peer-arrivals.ts
@@ -10,8 +10,8 @@
   unreported(service: string): number;
 }
 
-/** Time over which arrivals are averaged, in ms: a burst becomes visible within a second. */
-const AVERAGING_WINDOW_MS = 1_000;
+/** Time constant of the decaying count of arrivals, in ms: a burst becomes visible within a second. */
+const ARRIVALS_TIME_CONSTANT_MS = 1_000;
 /** Age of the load that is known of the others, in ms: they report it every 60 ms, and links add a little. */
 const REPORT_AGE_MS = 60;
 
@@ -21,7 +21,9 @@
 
   const countOf = (service: string): number => {
     const last = recent.get(service);
-    return last ? last.count * Math.exp((last.at - clock.monotonic()) / AVERAGING_WINDOW_MS) : 0;
+    return last
+      ? last.count * Math.exp((last.at - clock.monotonic()) / ARRIVALS_TIME_CONSTANT_MS)
+      : 0;
   };
 
   return {
@@ -29,6 +31,6 @@
       if (increase <= 0) return;
       recent.set(service, { count: countOf(service) + increase, at: clock.monotonic() });
     },
-    unreported: (service) => (countOf(service) * REPORT_AGE_MS) / AVERAGING_WINDOW_MS,
+    unreported: (service) => (countOf(service) * REPORT_AGE_MS) / ARRIVALS_TIME_CONSTANT_MS,
   };
 };
--- a/packages/gateway/src/upstreams/upstream-selection.ts
+++ b/packages/gateway/src/upstreams/upstream-selection.ts
@@ -15,7 +15,7 @@
 /** An upstream that may be selected. */
 export interface Candidate {
   /** Load score: its load with this request, as a fraction of its slots, plus penalties; see `loadScoreOf`. */
-  cost: number;
+  score: number;
   /** Slots that are free there, as far as is known; below 0 when requests are waiting. */
   free: number;
 }
@@ -44,23 +44,23 @@
   random: Random,
 ): number => {
   let minScore = Infinity;
-  for (const { cost } of candidates) minScore = Math.min(minScore, cost);
-  const byScore: { cost: number; index: number }[] = [];
-  candidates.forEach(({ cost }, index) => {
-    if (cost <= minScore + MAX_SCORE_DIFFERENCE) byScore.push({ cost, index });
+  for (const { score } of candidates) minScore = Math.min(minScore, score);
+  const byScore: { score: number; index: number }[] = [];
+  candidates.forEach(({ score }, index) => {
+    if (score <= minScore + MAX_SCORE_DIFFERENCE) byScore.push({ score, index });
   });
-  byScore.sort((a, b) => a.cost - b.cost);
+  byScore.sort((a, b) => a.score - b.score);
   const [best] = byScore;
   if (!best) return -1;
   const selected: { index: number; weight: number }[] = [];
   let freeTotal = 0;
-  for (const { cost, index } of byScore) {
+  for (const { score, index } of byScore) {
     const free = candidates[index]?.free ?? 0;
-    const isBest = cost <= best.cost + SCORE_TOLERANCE;
+    const isBest = score <= best.score + SCORE_TOLERANCE;
     const isNeeded =
       freeTotal < SPREAD_FACTOR * concurrentArrivals &&
       free > 0 &&
-      cost <= best.cost + MAX_SCORE_DIFFERENCE;
+      score <= best.score + MAX_SCORE_DIFFERENCE;
     if (!isBest && !isNeeded) break;
     freeTotal += free;
     selected.push({ index, weight: Math.max(free, MIN_WEIGHT) });
--- a/packages/gateway/test/upstream-selection.test.ts
+++ b/packages/gateway/test/upstream-selection.test.ts
@@ -51,7 +51,7 @@
         0,
       ),
     );
-    const candidates = knownLoads.map((n) => ({ cost: n / slots, free: slots - n }));
+    const candidates = knownLoads.map((n) => ({ score: n / slots, free: slots - n }));
     const unreported = estimatesPeers ? (estimates[entry]?.unreported('s') ?? 0) : 0;
     const upstream = selectCandidate(candidates, unreported, random);
     const inFlight = running.filter((request) => request.upstream === upstream).length;
@@ -101,22 +101,22 @@
   });
 
   it('selects the least loaded upstream when no other entry sends', () => {
-    const candidates = [0.5, 0.25, 0.75].map((cost) => ({ cost, free: 4 - 4 * cost }));
+    const candidates = [0.5, 0.25, 0.75].map((score) => ({ score, free: 4 - 4 * score }));
     expect(selectCandidate(candidates, 0, () => 0.9)).to.equal(1);
   });
 
   it('excludes failing and full upstreams, however many requests are expected', () => {
     const candidates = [
-      { cost: 0.5, free: 2 },
-      { cost: 1.5, free: 4 },
-      { cost: 0.9, free: 0 },
+      { score: 0.5, free: 2 },
+      { score: 1.5, free: 4 },
+      { score: 0.9, free: 0 },
     ];
     const selected = [0, 0.5, 0.99].map((value) => selectCandidate(candidates, 100, () => value));
     expect(selected).to.deep.equal([0, 0, 0]);
   });
 
   it('selects a full upstream if all are full, and none if there are none', () => {
-    expect(selectCandidate([{ cost: 3, free: -2 }], 5, () => 0.5)).to.equal(0);
+    expect(selectCandidate([{ score: 3, free: -2 }], 5, () => 0.5)).to.equal(0);
     expect(selectCandidate([], 5, () => 0.5)).to.equal(-1);
   });
 
@@ -136,7 +136,7 @@
     };
     const upstreams = 200;
     const candidates = Array.from({ length: upstreams }, () => ({
-      cost: counted(random()),
+      score: counted(random()),
       free: counted(4 * random()),
     }));
     const sorting = 2 * Math.ceil(Math.log2(upstreams));
--- a/packages/lab/src/bench/unit-costs.ts
+++ b/packages/lab/src/bench/unit-costs.ts
@@ -38,12 +38,12 @@
 };
 
 const measureSelection = (upstreams: number, random: Random): UnitCost => {
-  const offers = Array.from({ length: upstreams }, () => ({ cost: random(), free: 4 * random() }));
-  const findMinCost = (): number => offers.reduce((least, { cost }) => Math.min(least, cost), 1);
+  const offers = Array.from({ length: upstreams }, () => ({ score: random(), free: 4 * random() }));
+  const findMinScore = (): number => offers.reduce((min, { score }) => Math.min(min, score), 1);
   return {
     name: `selection among ${upstreams} upstreams`,
     against: 'the minimum of as many costs',
-    ratio: measureRatio(() => selectCandidate(offers, upstreams / 10, random), findMinCost),
+    ratio: measureRatio(() => selectCandidate(offers, upstreams / 10, random), findMinScore),
   };
 };
 
--- a/packages/mirror/src/follow.ts
+++ b/packages/mirror/src/follow.ts
@@ -27,7 +27,7 @@
    * Time that writers have after a restore to rewrite keys that the log lost, in ms; those not rewritten are then
    * dropped. If unset, they are kept.
    */
-  rewrittenWithinMs?: number;
+  rewriteTimeoutMs?: number;
   /** Long-poll wait of one read, and the pause after each read, in milliseconds. */
   waitMs: number;
   pauseMs: number;
@@ -89,7 +89,7 @@
   const unconfirmedExpiry = createUnconfirmedExpiry({
     topic: topic.name,
     mirror,
-    rewriteTimeoutMs: options.rewrittenWithinMs,
+    rewriteTimeoutMs: options.rewriteTimeoutMs,
     clock,
     log,
   });
--- a/packages/mirror/test/follow.test.ts
+++ b/packages/mirror/test/follow.test.ts
@@ -387,7 +387,7 @@
       fetchFromPeers: async () => held,
       waitMs: 0,
       pauseMs: 100,
-      rewrittenWithinMs: 2_000,
+      rewriteTimeoutMs: 2_000,
       clock,
       metrics: createMetrics(),
       log: silentEventLog,
--- a/packages/rank-groups/src/tree/rank-port.ts
+++ b/packages/rank-groups/src/tree/rank-port.ts
@@ -103,9 +103,12 @@
  * Returns the ranks that caused missing answers: those that did not answer, without the ranks
  * routed through them.
  */
-const topmostSilentRanks = (routes: readonly Route[], answered: ReadonlySet<number>): number[] =>
+const topmostUnresponsiveRanks = (
+  routes: readonly Route[],
+  answered: ReadonlySet<number>,
+): number[] =>
   routes.flatMap((route) =>
-    answered.has(route.rank) ? topmostSilentRanks(route.below, answered) : [route.rank],
+    answered.has(route.rank) ? topmostUnresponsiveRanks(route.below, answered) : [route.rank],
   );
 
 /** Creates the port. */
@@ -123,18 +126,18 @@
 
   const fullMapBounds = {
     first: FULL_MAP_TIMEOUT_MS,
-    least: FULL_MAP_TIMEOUT_MS,
-    most: MAX_TIMEOUT_MS,
+    min: FULL_MAP_TIMEOUT_MS,
+    max: MAX_TIMEOUT_MS,
   };
   const directTimes = createAdaptiveTimeouts((kind) =>
     kind === FULL_MAP_KIND
       ? fullMapBounds
-      : { first: MIN_DIRECT_TIMEOUT_MS, least: MIN_DIRECT_TIMEOUT_MS, most: MAX_TIMEOUT_MS },
+      : { first: MIN_DIRECT_TIMEOUT_MS, min: MIN_DIRECT_TIMEOUT_MS, max: MAX_TIMEOUT_MS },
   );
   const relayedTimes = createAdaptiveTimeouts((kind) =>
     kind === FULL_MAP_KIND
       ? fullMapBounds
-      : { first: INITIAL_RELAYED_TIMEOUT_MS, least: MIN_RELAYED_TIMEOUT_MS, most: MAX_TIMEOUT_MS },
+      : { first: INITIAL_RELAYED_TIMEOUT_MS, min: MIN_RELAYED_TIMEOUT_MS, max: MAX_TIMEOUT_MS },
   );
 
   const answerTimesFor = (ranks: number) => (ranks > MAX_DIRECT_RANKS ? relayedTimes : directTimes);
@@ -156,7 +159,7 @@
     const routes = routesFor(wanted);
     const answer = await calls.call({ method, args, routes, timeoutMs });
     const answered = new Set(methods[method].ranks(answer));
-    const silentRanks = topmostSilentRanks(routes, answered);
+    const silentRanks = topmostUnresponsiveRanks(routes, answered);
     const until = clock.monotonic() + UNRESPONSIVE_MS;
     silentRanks.forEach((rank) => unresponsiveUntil.set(rank, until));
     return {
--- a/packages/requests/src/claims/claims.ts
+++ b/packages/requests/src/claims/claims.ts
@@ -174,21 +174,18 @@
   const replayUntilOwnClaim = async (attempt: ClaimAttempt, offset: number | undefined) => {
     const { replay, key, record } = attempt;
     const caughtUp = offset === undefined ? await replay.catchUp() : await replay.catchUpTo(offset);
-    return caughtUp.ok ? replay.table.standing(key, record.id) : caughtUp.err;
+    return caughtUp.ok ? replay.table.claimState(key, record.id) : caughtUp.err;
   };
 
-  const verdictOf = (
-    attempt: ClaimAttempt,
-    standing: 'first' | 'dead',
-  ): ClaimVerdict | undefined => {
+  const verdictOf = (attempt: ClaimAttempt, state: 'first' | 'dead'): ClaimVerdict | undefined => {
     const { replay, key, record, partition, request } = attempt;
     // Checked after the replay: an agent that was suspended in between could otherwise find its
     // claim to be the first only because the log has dropped the earlier one.
     if (isExpired(request.key)) {
-      if (standing === 'first') releaseAttempt(attempt);
+      if (state === 'first') releaseAttempt(attempt);
       return { verdict: 'key-expired' };
     }
-    if (standing === 'first') {
+    if (state === 'first') {
       active.set(record.id, { key, partition });
       return { verdict: 'first', claim: record.id };
     }
@@ -218,13 +215,10 @@
         continue;
       }
       mayBeAppended = true;
-      const standing = await replayUntilOwnClaim(
-        attempt,
-        appended.ok ? appended.value[0] : undefined,
-      );
+      const state = await replayUntilOwnClaim(attempt, appended.ok ? appended.value[0] : undefined);
       if (isTimedOut()) break;
-      if (standing === 'first' || standing === 'dead') return verdictOf(attempt, standing);
-      if (standing !== 'unseen' && tries >= MAX_TRIES) return notConfirmed(standing);
+      if (state === 'first' || state === 'dead') return verdictOf(attempt, state);
+      if (state !== 'unseen' && tries >= MAX_TRIES) return notConfirmed(state);
       await delay(REAPPEND_DELAY_MS);
     }
     return notConfirmed(TIMED_OUT);
--- a/packages/requests/src/claims/key-table.ts
+++ b/packages/requests/src/claims/key-table.ts
@@ -18,14 +18,14 @@
 }
 
 /** State of one claim after replay. */
-export type ClaimStanding = 'unseen' | 'first' | 'dead';
+export type ClaimState = 'unseen' | 'first' | 'dead';
 
 /** Claims of one partition, replayed in the order of offsets. */
 export interface KeyTable {
   /** Applies the next record; `now` is monotonic time in milliseconds. */
   apply(record: ClaimLogRecord, now: number): void;
   holder(key: string): Holder | undefined;
-  standing(key: string, id: ClaimId): ClaimStanding;
+  claimState(key: string, id: ClaimId): ClaimState;
   /** Drops keys whose last record was applied before `time`. */
   prune(time: number): void;
   clear(): void;
@@ -77,7 +77,7 @@
       if (isHolder) state.holder = undefined;
     },
     holder: (key) => keys.get(key)?.holder,
-    standing: (key, id) => {
+    claimState: (key, id) => {
       const state = keys.get(key);
       if (state?.holder?.id === id) return 'first';
       return state?.dead?.has(id) ? 'dead' : 'unseen';
--- a/packages/requests/test/claims.test.ts
+++ b/packages/requests/test/claims.test.ts
@@ -205,7 +205,7 @@
     claim('b:1');
     release('a:2');
     claim('b:1');
-    expect(table.standing('k', 'b:1')).to.equal('dead');
+    expect(table.claimState('k', 'b:1')).to.equal('dead');
     claim('b:2');
     expect(table.holder('k')!.id).to.equal('b:2');
   });
