--- a/packages/requests/test/claims.test.ts
+++ b/packages/requests/test/claims.test.ts
@@ -229,7 +229,7 @@
       metrics,
       instance: 'kent',
       partitions: 8,
-      mostKeys: 1,
+      maxKeys: 1,
     };
     const kent = createClaims(options);
     const keys = Array.from({ length: 20 }, (_, n) => `export-${n}`);
