--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -96,7 +96,7 @@
   const followedTopics = createFollowedTopics({ mesh: () => mesh, clock, metrics, log });
 
   const quarantine = createQuarantine({
-    broadcast: (news) => mesh?.broadcastQuarantine(news),
+    broadcast: (update) => mesh?.broadcastQuarantine(update),
     publish: options.publishQuarantine,
     clock,
     metrics,
@@ -122,7 +122,7 @@
   });
   const rateLimits = createRateLimits({
     upstreams: directory.all,
-    broadcast: (news) => mesh?.broadcastRateLimits(news),
+    broadcast: (update) => mesh?.broadcastRateLimits(update),
     metrics,
     log,
   });
--- a/packages/gateway/test/slow-upstreams.test.ts
+++ b/packages/gateway/test/slow-upstreams.test.ts
@@ -71,9 +71,9 @@
       record.record(6);
       await clock.advance(200);
       record.record(1);
-      const soundAt = clock.monotonic();
+      const normalAt = clock.monotonic();
       while (record.slowdown() > 1) await clock.advance(50);
-      pauses.push(clock.monotonic() - soundAt);
+      pauses.push(clock.monotonic() - normalAt);
     }
     expect(pauses).to.deep.equal([500, 1_000, 2_000, 4_000, 4_000]);
     await clock.advance(20_000);
--- a/packages/gateway/test/support/entry.ts
+++ b/packages/gateway/test/support/entry.ts
@@ -48,9 +48,9 @@
   /** The entry exits soon and accepts no more requests. */
   isClosing?: boolean;
   /** Called with what the entry broadcasts about requests that crash upstreams. */
-  onCrashUpdate?: (news: QuarantineUpdate) => void;
+  onCrashUpdate?: (update: QuarantineUpdate) => void;
   /** Called with what the entry broadcasts about rate limits of upstreams. */
-  onRateUpdate?: (news: RateLimitUpdate) => void;
+  onRateUpdate?: (update: RateLimitUpdate) => void;
   /** Called with what the entry writes to the platform about requests in quarantine. */
   publish?: (key: string, value: Uint8Array | undefined) => void;
   /** Clock of the entry; the system clock by default. */
@@ -81,7 +81,7 @@
   const metrics = createMetrics();
   const log = silentEventLog;
   const quarantine = createQuarantine({
-    broadcast: (news) => options.onCrashUpdate?.(news),
+    broadcast: (update) => options.onCrashUpdate?.(update),
     publish: async (key, value) => {
       options.publish?.(key, value);
       return true;
@@ -123,7 +123,7 @@
   });
   const rateLimits = createRateLimits({
     upstreams: directory.all,
-    broadcast: (news) => options.onRateUpdate?.(news),
+    broadcast: (update) => options.onRateUpdate?.(update),
     metrics,
     log,
   });
--- a/packages/lab/test/quarantine-sharing.test.ts
+++ b/packages/lab/test/quarantine-sharing.test.ts
@@ -3,7 +3,7 @@
 import type { SharingFigures } from '../src/experiments/quarantine.js';
 
 /** Sends of a request that crashes upstreams that may reach one after the entries have had time to learn of it. */
-const MOST_LATE = 3;
+const MAX_LATE = 3;
 
 describe('sharing what is known of a request that crashes upstreams', () => {
   // The request comes back at any entry for half a minute. Meanwhile the store is down, an entry is cut off, or
@@ -13,9 +13,9 @@
       const { figures } = await run({ seed, quick: true, print: () => {} });
       const kept = (figures as SharingFigures[]).filter(({ way }) => way === 'notes-and-record');
       expect(kept).to.have.lengthOf(4);
-      kept.forEach(({ late }) => expect(late).to.be.at.most(MOST_LATE));
+      kept.forEach(({ late }) => expect(late).to.be.at.most(MAX_LATE));
       const alone = (figures as SharingFigures[]).filter(({ way }) => way === 'none');
-      alone.forEach(({ late }) => expect(late).to.be.above(MOST_LATE));
+      alone.forEach(({ late }) => expect(late).to.be.above(MAX_LATE));
     }
   });
 });
--- a/packages/lab/test/rate-limit-sharing.test.ts
+++ b/packages/lab/test/rate-limit-sharing.test.ts
@@ -3,7 +3,7 @@
 import type { LimitFigures } from '../src/experiments/rate-limit.js';
 
 /** Requests beyond the limit over a whole run: those that a window allows beyond its rate. */
-const MOST_BEYOND = 5;
+const MAX_EXCESS = 5;
 
 describe('sharing the limit that an upstream names', () => {
   // All callers of 4 or of 36 entries would be sent to the upstream, words between entries take 3 to 60 ms, and the
@@ -16,7 +16,7 @@
       expect(byWay('one-count')).to.have.lengthOf(16);
       byWay('one-count').forEach(({ mostInWindow, allowed, sent, due }) => {
         expect(mostInWindow).to.be.at.most(allowed);
-        expect(sent).to.be.within(0.8 * due, due + MOST_BEYOND);
+        expect(sent).to.be.within(0.8 * due, due + MAX_EXCESS);
       });
       const exceeds = ({ mostInWindow, allowed }: LimitFigures): boolean => mostInWindow > allowed;
       expect(byWay('each-alone').some(exceeds)).to.equal(true);
--- a/packages/rank-groups/src/coordinator.ts
+++ b/packages/rank-groups/src/coordinator.ts
@@ -149,8 +149,8 @@
 
   const maxReportAgeMs = (): number => MAX_REPORT_AGE_MS + 2 * options.telemetryIntervalMs();
 
-  /** Reads the state of ranks whose agents are silent; their selection counts stay unknown. */
-  const readSilentRanks = async (): Promise<void> => {
+  /** Reads the state of ranks whose agents do not respond; their selection counts stay unknown. */
+  const readUnresponsiveRanks = async (): Promise<void> => {
     if (isLinking()) return;
     const silent = latestReports.olderThan(allRanks(port), maxReportAgeMs());
     if (silent.length === 0) return;
@@ -261,7 +261,7 @@
   };
 
   const checkGroup = async (): Promise<void> => {
-    await readSilentRanks();
+    await readUnresponsiveRanks();
     const reports = reportsOfOpenGroup();
     const epoch = port.epoch();
     if (!reports) return;
--- a/packages/rank-groups/src/rank-member.ts
+++ b/packages/rank-groups/src/rank-member.ts
@@ -70,7 +70,7 @@
 /** Time between readings while a change waits for the engine to copy experts, in ms. */
 const COPY_CHECK_INTERVAL_MS = 15;
 /** Pause before an engine that does not answer is read again, in ms. */
-const SILENT_RETRY_DELAY_MS = 500;
+const ENGINE_RETRY_DELAY_MS = 500;
 /**
  * Maximum age of a report that is returned when the engine does not answer, in ms: four readings
  * and one slow one.
@@ -149,7 +149,7 @@
     while (!stopped) {
       const waitMs = reportedAt + readIntervalMs() - clock.monotonic();
       if (waitMs > 0) await sleep(clock, waitMs);
-      else if (!(await readAndReport())) await sleep(clock, SILENT_RETRY_DELAY_MS);
+      else if (!(await readAndReport())) await sleep(clock, ENGINE_RETRY_DELAY_MS);
     }
   };
   void run();
--- a/packages/rank-groups/src/tree/rank-port.ts
+++ b/packages/rank-groups/src/tree/rank-port.ts
@@ -155,17 +155,17 @@
     args: unknown,
     wanted: ReadonlySet<number>,
     timeoutMs: number,
-  ): Promise<{ answer: RankAnswers[N]; unanswered: number[]; silentRanks: number[] }> => {
+  ): Promise<{ answer: RankAnswers[N]; unanswered: number[]; unresponsiveRanks: number[] }> => {
     const routes = routesFor(wanted);
     const answer = await calls.call({ method, args, routes, timeoutMs });
     const answered = new Set(methods[method].ranks(answer));
-    const silentRanks = topmostUnresponsiveRanks(routes, answered);
+    const unresponsiveRanks = topmostUnresponsiveRanks(routes, answered);
     const until = clock.monotonic() + UNRESPONSIVE_MS;
-    silentRanks.forEach((rank) => unresponsiveUntil.set(rank, until));
+    unresponsiveRanks.forEach((rank) => unresponsiveUntil.set(rank, until));
     return {
       answer,
       unanswered: routes.flatMap(ranksOf).filter((rank) => !answered.has(rank)),
-      silentRanks,
+      unresponsiveRanks,
     };
   };
 
@@ -192,12 +192,12 @@
     if (first.unanswered.length === 0) times.record(kind, clock.monotonic() - startedAt);
     else if (2 * first.unanswered.length > wanted.size) times.backOff(kind);
     const parts = [first.answer];
-    const unreached = first.unanswered.filter((rank) => !first.silentRanks.includes(rank));
+    const unreached = first.unanswered.filter((rank) => !first.unresponsiveRanks.includes(rank));
     if (unreached.length > 0 && method !== 'news') {
       parts.push((await callLinked(method, args, new Set(unreached), timeoutMs)).answer);
       log.event('relay-lost', {
         method,
-        relays: first.silentRanks.length,
+        relays: first.unresponsiveRanks.length,
         again: unreached.length,
       });
     }
--- a/packages/rank-groups/test/map-encoding.test.ts
+++ b/packages/rank-groups/test/map-encoding.test.ts
@@ -66,7 +66,7 @@
     const cache = createPlacementCache();
     const small = [[[0], [1]]];
     cache.put(1, 7, small);
-    const told = encodeMapDelta(7, small, [[[0], [1], [2]]]);
-    expect(cache.decode(1, told)).to.equal(undefined);
+    const delta = encodeMapDelta(7, small, [[[0], [1], [2]]]);
+    expect(cache.decode(1, delta)).to.equal(undefined);
   });
 });
--- a/packages/rank-groups/test/rank-methods.test.ts
+++ b/packages/rank-groups/test/rank-methods.test.ts
@@ -54,11 +54,11 @@
   it('prepares a map sent as a delta once it knows the base', async () => {
     const { methods, orders } = start();
     const next = [[[0], [1, 0], [2]]];
-    const told = { epoch: 1, version: 8, map: encodeMapDelta(7, placement, next) };
-    expect(await methods.prepare.run(told, 100)).to.deep.equal({ 'unknown-base': [3] });
+    const args = { epoch: 1, version: 8, map: encodeMapDelta(7, placement, next) };
+    expect(await methods.prepare.run(args, 100)).to.deep.equal({ 'unknown-base': [3] });
     const base = { epoch: 1, version: 7, map: encodeFullMap(placement) };
     expect(await methods['map-in-use'].run(base, 100)).to.deep.equal({ done: [3] });
-    expect(await methods.prepare.run(told, 100)).to.deep.equal({ done: [3] });
+    expect(await methods.prepare.run(args, 100)).to.deep.equal({ done: [3] });
     expect(orders).to.deep.equal([{ op: 'prepare', epoch: 1, version: 8, placement: next }]);
   });
 
