--- a/packages/experts/src/plan/relief.ts
+++ b/packages/experts/src/plan/edits.ts
@@ -100,7 +100,7 @@
 /**
  * Returns the edit with the largest gain per loaded expert for a rank; undefined when none helps.
  */
-export const bestRelief = (
+export const bestEdit = (
   state: PlacementState,
   layout: GroupLayout,
   slowRank: number,
--- a/packages/experts/src/plan/plan-map.ts
+++ b/packages/experts/src/plan/plan-map.ts
@@ -3,8 +3,8 @@
 import type { ExpertPlacement, GroupLayout } from '../types.js';
 import type { GroupLoad } from './placement-state.js';
 import { createPlacementState, evenTime, slowestTime } from './placement-state.js';
-import { applyEdit, bestRelief } from './relief.js';
-import type { Edit } from './relief.js';
+import { applyEdit, bestEdit } from './edits.js';
+import type { Edit } from './edits.js';
 
 /** Limits of a plan. */
 export interface PlanLimits {
@@ -66,7 +66,7 @@
     const slowestFirst = byTime(state.times);
     const receivers = slowestFirst.slice(-MAX_RECEIVERS);
     for (const slowRank of slowestFirst.slice(0, MAX_TRIED_RANKS)) {
-      const edit = bestRelief(
+      const edit = bestEdit(
         state,
         layout,
         slowRank,
