--- a/packages/requests/test/claims.test.ts
+++ b/packages/requests/test/claims.test.ts
@@ -205,7 +205,7 @@
     claim('b:1');
     release('a:2');
     claim('b:1');
-    expect(table.standing('k', 'b:1')).to.equal('dead');
+    expect(table.claimState('k', 'b:1')).to.equal('dead');
     claim('b:2');
     expect(table.holder('k')!.id).to.equal('b:2');
   });
@@ -229,7 +229,7 @@
       metrics,
       instance: 'kent',
       partitions: 8,
-      mostKeys: 1,
+      maxKeys: 1,
     };
     const kent = createClaims(options);
     const keys = Array.from({ length: 20 }, (_, n) => `export-${n}`);
